--- a/internal/coordination/raft/bench_test.go
+++ b/internal/coordination/raft/bench_test.go
@@ -13,52 +13,52 @@
 	"jayspindle/internal/state/wal"
 )
 
-// trio is three replicas in one process with real files on one disk.
-type trio struct {
-	nodes   [3]*raft.Node
-	logs    [3]*wal.Log
-	applied int
+// benchCluster runs three replicas in one process with real files on one disk.
+type benchCluster struct {
+	nodes          [3]*raft.Node
+	logs           [3]*wal.Log
+	appliedEntries int
 }
 
-func newTrio(b *testing.B) *trio {
+func newBenchCluster(b *testing.B) *benchCluster {
 	b.Helper()
 
 	is := is.New(b)
-	t := &trio{}
+	c := &benchCluster{}
 	directory := b.TempDir()
 	members := []raft.Member{{ID: 1}, {ID: 2}, {ID: 3}}
 	now := time.Unix(0, 0)
-	first := raft.Bootstrap(members, nil)
+	initial := raft.Bootstrap(members, nil)
 
-	for i := range t.nodes {
+	for i := range c.nodes {
 		var err error
 
 		id := raft.ReplicaID(i + 1)
-		t.logs[i], err = wal.Open(filepath.Join(directory, fmt.Sprint(i)), wal.WithReplica(id))
+		c.logs[i], err = wal.Open(filepath.Join(directory, fmt.Sprint(i)), wal.WithReplica(id))
 		is.NoErr(err)
-		is.NoErr(t.logs[i].SaveSnapshot(&first))
+		is.NoErr(c.logs[i].SaveSnapshot(&initial))
 
-		t.nodes[i], err = raft.New(raft.Config{
+		c.nodes[i], err = raft.New(raft.Config{
 			Replica: id, Cluster: cluster, Generation: generation, Random: rand.New(rand.NewPCG(1, 1)), Now: now,
 			MaxLogEntries: 1 << 40,
-		}, t.logs[i].Stored())
+		}, c.logs[i].Stored())
 		is.NoErr(err)
 	}
 
-	t.nodes[0].Tick(now.Add(time.Hour))
-	t.settle(b)
+	c.nodes[0].Tick(now.Add(time.Hour))
+	c.processAll(b)
 
-	return t
+	return c
 }
 
-// settle handles everything that is ready until all replicas are idle.
-func (t *trio) settle(b *testing.B) {
+// processAll handles what each Ready returns until all replicas are idle.
+func (c *benchCluster) processAll(b *testing.B) {
 	is := is.New(b)
 
 	for busy := true; busy; {
 		busy = false
 
-		for i, node := range t.nodes {
+		for i, node := range c.nodes {
 			ready, ok := node.Ready()
 			if !ok {
 				continue
@@ -66,14 +66,14 @@
 
 			busy = true
 
-			is.NoErr(t.logs[i].Save(ready.HardState, ready.Entries))
+			is.NoErr(c.logs[i].Save(ready.HardState, ready.Entries))
 
 			for _, message := range ready.Messages {
-				is.NoErr(t.nodes[message.To-1].Receive(message))
+				is.NoErr(c.nodes[message.To-1].Receive(message))
 			}
 
 			if i == 0 {
-				t.applied += len(ready.Committed)
+				c.appliedEntries += len(ready.Committed)
 			}
 
 			node.Advance(ready)
@@ -81,26 +81,26 @@
 	}
 }
 
-// BenchmarkPropose measures proposals that are committed and applied, with every
-// replica's fsync on the same disk, one after the other in one goroutine.
+// BenchmarkPropose measures the throughput of committed and applied proposals. All
+// replicas run in one goroutine, so their fsyncs on the shared disk are sequential.
 func BenchmarkPropose(b *testing.B) {
 	for _, batch := range []int{1, 64, 512} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
 			is := is.New(b)
-			t := newTrio(b)
+			c := newBenchCluster(b)
 			command := make([]byte, 256)
-			start := t.applied
+			appliedBefore := c.appliedEntries
 
 			for b.Loop() {
 				for range batch {
-					_, _, err := t.nodes[0].Propose(command)
+					_, _, err := c.nodes[0].Propose(command)
 					is.NoErr(err)
 				}
 
-				t.settle(b)
+				c.processAll(b)
 			}
 
-			is.Equal(t.applied-start, b.N*batch)
+			is.Equal(c.appliedEntries-appliedBefore, b.N*batch)
 			b.ReportMetric(float64(b.N*batch)/b.Elapsed().Seconds(), "proposals/s")
 		})
 	}
--- a/internal/coordination/raft/codec_test.go
+++ b/internal/coordination/raft/codec_test.go
@@ -8,8 +8,8 @@
 	"jayspindle/internal/state/wal"
 )
 
-// Guards against a crash caused by a malformed message, and against one that
-// changes when it is encoded again. Whatever decodes must not break a replica.
+// Guards against malformed messages that crash the decoder or a replica, and against
+// messages that change when they are decoded and encoded again.
 func FuzzDecodeMessage(f *testing.F) {
 	members := []raft.Member{{ID: 1, Address: "127.0.0.1:1"}}
 
@@ -40,18 +40,18 @@
 			return
 		}
 
-		again, err := raft.EncodeMessage(message)
+		reencoded, err := raft.EncodeMessage(message)
 		if err != nil {
 			t.Fatal(err)
 		}
 
-		second, err := raft.DecodeMessage(again)
+		second, err := raft.DecodeMessage(reencoded)
 		if err != nil || !reflect.DeepEqual(second, message) {
 			t.Fatalf("message changes when it is encoded again: %v", err)
 		}
 
-		s := newScripted(t, raft.Stored{})
+		s := newTestReplica(t, raft.Stored{})
 		_ = s.node.Receive(*message) // an error drops the message
-		s.drain()
+		s.processReady()
 	})
 }
--- a/internal/coordination/raft/election.go
+++ b/internal/coordination/raft/election.go
@@ -7,10 +7,10 @@
 	"jayspindle/internal/state/wal"
 )
 
-// campaign starts a pre-vote, or an election at once when the leader asked for
-// it. A replica that is no voter only waits.
+// campaign starts a pre-vote, or immediately an election if the leader requested it
+// for a leadership transfer. A replica that isn't a voter only restarts its timer.
 func (n *Node) campaign(transfer bool) {
-	n.resetElection()
+	n.resetElectionTimer()
 
 	if !n.isVoter(n.config.Replica) {
 		return
@@ -20,29 +20,29 @@
 	n.votes = map[ReplicaID]bool{n.config.Replica: true}
 
 	if transfer {
-		n.elect(true)
+		n.startElection(true)
 
 		return
 	}
 
 	n.role = PreCandidate
-	n.askVotes(MessagePreVote, n.term+1, false)
+	n.requestVotes(MessagePreVote, n.term+1, false)
 	n.countVotes()
 }
 
-// elect starts an election in the next term.
-func (n *Node) elect(transfer bool) {
+// startElection becomes a candidate in the next term and requests votes.
+func (n *Node) startElection(transfer bool) {
 	n.setTerm(n.term + 1)
 	n.role = Candidate
 	n.vote = n.config.Replica
 	n.votes = map[ReplicaID]bool{n.config.Replica: true}
-	n.resetElection()
-	n.askVotes(MessageVote, n.term, transfer)
+	n.resetElectionTimer()
+	n.requestVotes(MessageVote, n.term, transfer)
 	n.countVotes()
 }
 
-func (n *Node) askVotes(kind MessageKind, term uint64, transfer bool) {
-	for _, member := range n.members.current() {
+func (n *Node) requestVotes(kind MessageKind, term uint64, transfer bool) {
+	for _, member := range n.memberships.current() {
 		if member.Learner || member.ID == n.config.Replica {
 			continue
 		}
@@ -55,37 +55,38 @@
 }
 
 func (n *Node) countVotes() {
-	members := n.members.current()
+	members := n.memberships.current()
 	granted := func(id ReplicaID) bool { return n.votes[id] }
 	refused := func(id ReplicaID) bool { vote, ok := n.votes[id]; return ok && !vote }
 
 	switch {
-	case quorum(members, granted) && n.role == PreCandidate:
-		n.elect(false)
-	case quorum(members, granted) && n.role == Candidate:
+	case hasQuorum(members, granted) && n.role == PreCandidate:
+		n.startElection(false)
+	case hasQuorum(members, granted) && n.role == Candidate:
 		n.becomeLeader()
-	case quorum(members, refused):
+	case hasQuorum(members, refused):
 		n.becomeFollower(n.term, 0)
 	}
 }
 
-// leased reports whether a leader was heard recently. Votes that the leader
-// didn't ask for are then refused, so that a replica that can't hear the leader
-// or was removed doesn't disrupt the group.
-func (n *Node) leased() bool {
+// hasLeaderLease reports whether this replica leads or received a message from the
+// leader within an election timeout. Vote requests are then rejected, except for a
+// leadership transfer, so that a replica that can't reach the leader or was removed
+// doesn't disrupt the group.
+func (n *Node) hasLeaderLease() bool {
 	if n.role == Leader {
 		return true
 	}
 
-	return n.leader != 0 && n.now.Before(n.leaderSeen.Add(n.config.ElectionTimeout))
+	return n.leader != 0 && n.now.Before(n.lastLeaderContact.Add(n.config.ElectionTimeout))
 }
 
 func (n *Node) handlePreVote(m *Message) {
-	grant := m.Term > n.term && !n.leased() && n.log.upToDate(m.LogIndex, m.LogTerm)
+	grant := m.Term > n.term && !n.hasLeaderLease() && n.log.upToDate(m.LogIndex, m.LogTerm)
 
 	reply := Message{Kind: MessagePreVoteReply, To: m.From, Term: n.term, Reject: !grant}
 	if grant {
-		reply.Term = m.Term // the term asked for tells the reply from an earlier one
+		reply.Term = m.Term // the proposed term distinguishes the reply from one to an earlier pre-vote
 	}
 
 	n.send(reply)
@@ -101,12 +102,12 @@
 }
 
 func (n *Node) handleVote(m *Message) {
-	free := n.vote == m.From || (n.vote == 0 && n.termLeader == 0)
-	grant := free && n.log.upToDate(m.LogIndex, m.LogTerm)
+	canVote := n.vote == m.From || (n.vote == 0 && n.termLeader == 0)
+	grant := canVote && n.log.upToDate(m.LogIndex, m.LogTerm)
 
 	if grant {
 		n.vote = m.From
-		n.resetElection()
+		n.resetElectionTimer()
 	}
 
 	n.send(Message{Kind: MessageVoteReply, To: m.From, Reject: !grant})
@@ -122,7 +123,7 @@
 }
 
 func (n *Node) becomeLeader() {
-	invariant.Assert(n.termLeader == 0, "raft: one leader a term",
+	invariant.Assert(n.termLeader == 0, "raft: at most one leader per term",
 		slog.Uint64("term", n.term), slog.Any("leader", n.termLeader), slog.Any("other", n.config.Replica))
 
 	n.role = Leader
@@ -130,33 +131,32 @@
 	n.progress = make(map[ReplicaID]*progress)
 	n.syncProgress()
 	n.heartbeatDue = n.now
-	n.appendOwn(wal.EntryEmpty, nil)
+	n.appendEntry(wal.EntryEmpty, nil)
 }
 
-// tickLeader steps down without a quorum, so that clients of an isolated leader
-// learn soon that it can't commit, and sends heartbeats.
+// tickLeader sends heartbeats when they are due. It steps down if no quorum responds,
+// so that clients of an isolated leader soon learn that it can't commit.
 func (n *Node) tickLeader() {
-	if !quorum(n.members.current(), n.responsive) {
+	if !hasQuorum(n.memberships.current(), n.responsive) {
 		n.becomeFollower(n.term, 0)
 
 		return
 	}
 
-	if n.transfer != 0 && !n.now.Before(n.transferDue) {
-		n.transfer = 0
+	if n.transferTarget != 0 && !n.now.Before(n.transferDeadline) {
+		n.transferTarget = 0
 	}
 
 	if !n.now.Before(n.heartbeatDue) {
-		n.heartbeat()
+		n.sendHeartbeats()
 	}
 }
 
-// TransferLeadership hands the leadership to a voter, or with 0 to the one whose
-// log is closest to the leader's. Proposals are refused until the transfer ends;
-// it is given up after an election timeout. The error kinds are KindNotLeader and
-// KindInvalid.
+// TransferLeadership transfers leadership to a voter; 0 selects the responsive voter
+// with the most up-to-date log. Proposals are rejected until the transfer ends; it is
+// aborted after an election timeout. The error kinds are KindNotLeader and KindInvalid.
 func (n *Node) TransferLeadership(to ReplicaID) error {
-	if err := n.refuseUnlessLeader("transfer"); err != nil {
+	if err := n.checkLeader("transfer"); err != nil {
 		return err
 	}
 
@@ -165,11 +165,11 @@
 	}
 
 	if to == n.config.Replica || !n.isVoter(to) {
-		return newError("transfer", KindInvalid, "replica %v is no other voter", to)
+		return newError("transfer", KindInvalid, "replica %v is not another voter", to)
 	}
 
-	n.transfer = to
-	n.transferDue = n.now.Add(n.config.ElectionTimeout)
+	n.transferTarget = to
+	n.transferDeadline = n.now.Add(n.config.ElectionTimeout)
 
 	return nil
 }
@@ -177,7 +177,7 @@
 func (n *Node) successor() ReplicaID {
 	var best ReplicaID
 
-	for _, member := range n.members.current() {
+	for _, member := range n.memberships.current() {
 		if member.Learner || member.ID == n.config.Replica || !n.responsive(member.ID) {
 			continue
 		}
--- a/internal/coordination/raft/error.go
+++ b/internal/coordination/raft/error.go
@@ -11,17 +11,17 @@
 
 // The kinds of errors of this package.
 const (
-	KindNotLeader    Kind = "not leader"    // only the leader does this; Leader is a hint
-	KindTransferring Kind = "transferring"  // leadership is being handed to another replica
-	KindTooLarge     Kind = "too large"     // a proposal or message exceeds its bound
-	KindBusy         Kind = "busy"          // too much is uncommitted or unconfirmed
+	KindNotLeader    Kind = "not leader"    // only the leader can do this; Error.Leader names the presumed leader
+	KindTransferring Kind = "transferring"  // leadership is being transferred to another replica
+	KindTooLarge     Kind = "too large"     // a proposal, message or state exceeds its size limit
+	KindBusy         Kind = "busy"          // too much is uncommitted, unconfirmed or not in a snapshot
 	KindInProgress   Kind = "in progress"   // another membership change is not committed yet
-	KindNotReady     Kind = "not ready"     // no entry of the own term is committed yet
-	KindNotCaughtUp  Kind = "not caught up" // the learner is silent or lags behind the log
-	KindQuorum       Kind = "quorum"        // the change would leave no responsive quorum
-	KindInvalid      Kind = "invalid"       // the input makes no sense
-	KindForeign      Kind = "foreign"       // for another replica, cluster or generation
-	KindStored       Kind = "stored"        // the stored state contradicts itself
+	KindNotReady     Kind = "not ready"     // no entry of the current term is committed yet
+	KindNotCaughtUp  Kind = "not caught up" // the learner is unresponsive or lags too far behind
+	KindQuorum       Kind = "quorum"        // the change would leave too few responsive voters for a quorum
+	KindInvalid      Kind = "invalid"       // invalid argument or malformed message
+	KindForeign      Kind = "foreign"       // message for another replica, cluster or generation
+	KindStored       Kind = "stored"        // the stored state is inconsistent
 )
 
 // Error is the error type of this package.
@@ -45,14 +45,14 @@
 // Kind returns the kind of the error.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Leader returns the leader as far as this replica knows, or 0.
+// Leader returns the presumed leader, or 0 if it is unknown.
 func (e *Error) Leader() ReplicaID { return e.leader }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.err }
 
-// refuseUnlessLeader returns an error of KindNotLeader on other replicas.
-func (n *Node) refuseUnlessLeader(operation string) error {
+// checkLeader returns an error of KindNotLeader unless this replica leads.
+func (n *Node) checkLeader(operation string) error {
 	if n.role == Leader {
 		return nil
 	}
--- a/internal/coordination/raft/log.go
+++ b/internal/coordination/raft/log.go
@@ -6,28 +6,28 @@
 	"jayspindle/internal/state/invariant"
 )
 
-// entryOverhead is what an entry counts for besides its data when messages and
-// uncommitted entries are bounded.
-const entryOverhead = 32
+// entryOverheadBytes is added to the data size of each entry when the size of messages
+// and of uncommitted entries is limited.
+const entryOverheadBytes = 32
 
-// entryLog holds the entries that are not compacted yet.
+// entryLog holds the entries that are not compacted yet and the newest snapshot.
 type entryLog struct {
-	snapshot Snapshot // newest snapshot, sent to replicas behind base
-	base     uint64   // index before entries[0]
-	baseTerm uint64
-	entries  []Entry
-	stable   uint64 // entries up to here are on the own disk
-	commit   uint64
-	handed   uint64 // committed entries up to here were in a Ready
-
-	uncommitted int // what the entries behind commit count for, in bytes
+	snapshot  Snapshot // newest one; sent to replicas that need entries up to base
+	base      uint64   // index of the entry before entries[0]
+	baseTerm  uint64
+	entries   []Entry
+	stable    uint64 // entries up to this index are on the local disk
+	commit    uint64
+	delivered uint64 // committed entries up to this index were returned by Ready
+
+	uncommittedBytes int // size of the entries after commit, with overhead
 }
 
-// size returns what entries count for, in bytes.
-func size(entries []Entry) int {
+// totalBytes returns the size of entries, including their overhead.
+func totalBytes(entries []Entry) int {
 	total := 0
 	for _, entry := range entries {
-		total += len(entry.Data) + entryOverhead
+		total += len(entry.Data) + entryOverheadBytes
 	}
 
 	return total
@@ -48,14 +48,14 @@
 	}
 
 	l.stable = l.last()
-	l.handed = l.base
+	l.delivered = l.base
 	l.commit = max(l.base, stored.HardState.Commit)
 
 	if l.commit > l.last() {
-		return nil, newError("new", KindStored, "commit index %d is behind the last entry %d", l.commit, l.last())
+		return nil, newError("new", KindStored, "commit index %d exceeds the last entry %d", l.commit, l.last())
 	}
 
-	l.uncommitted = size(l.entries[l.commit-l.base:])
+	l.uncommittedBytes = totalBytes(l.entries[l.commit-l.base:])
 
 	return l, nil
 }
@@ -81,9 +81,9 @@
 }
 
 func (l *entryLog) matches(index, term uint64) bool {
-	own, ok := l.term(index)
+	localTerm, ok := l.term(index)
 
-	return ok && own == term
+	return ok && localTerm == term
 }
 
 // upToDate implements the election restriction of section 5.4.1 of the paper.
@@ -91,18 +91,18 @@
 	return term > l.lastTerm() || (term == l.lastTerm() && index >= l.last())
 }
 
-// slice returns entries from first on, bounded in count and bytes, but at least
-// one if there is any.
-func (l *entryLog) slice(first, end uint64, maxCount, maxBytes int) []Entry {
-	if first > end || first <= l.base {
+// slice returns the entries first to last, cut off at maxCount and maxBytes, but at
+// least one if there is any.
+func (l *entryLog) slice(first, last uint64, maxCount, maxBytes int) []Entry {
+	if first > last || first <= l.base {
 		return nil
 	}
 
-	entries := l.entries[first-l.base-1 : end-l.base]
+	entries := l.entries[first-l.base-1 : last-l.base]
 	bytes := 0
 
 	for i, entry := range entries {
-		bytes += len(entry.Data) + entryOverhead
+		bytes += len(entry.Data) + entryOverheadBytes
 		if i > 0 && (i >= maxCount || bytes > maxBytes) {
 			return entries[:i:i]
 		}
@@ -111,45 +111,45 @@
 	return entries[:len(entries):len(entries)]
 }
 
-// append adds an entry at the end.
+// append appends an entry and counts it as uncommitted.
 func (l *entryLog) append(entry Entry) {
 	l.entries = append(l.entries, entry)
-	l.uncommitted += len(entry.Data) + entryOverhead
+	l.uncommittedBytes += len(entry.Data) + entryOverheadBytes
 }
 
-// truncate drops the entries from index on. The rest is copied, because a Ready
-// may still refer to the dropped entries.
+// truncate removes the entries from index on. The remaining ones are copied because a
+// Ready may still refer to the removed entries.
 func (l *entryLog) truncate(index uint64) {
-	invariant.Assert(index > l.commit, "raft: committed entries are not overwritten",
+	invariant.Assert(index > l.commit, "raft: committed entries are never overwritten",
 		slog.Uint64("index", index), slog.Uint64("commit", l.commit))
 
-	l.uncommitted -= size(l.entries[index-l.base-1:])
+	l.uncommittedBytes -= totalBytes(l.entries[index-l.base-1:])
 	l.entries = append([]Entry(nil), l.entries[:index-l.base-1]...)
 	l.stable = min(l.stable, index-1)
 }
 
 func (l *entryLog) commitTo(index uint64) {
-	invariant.Assert(index >= l.commit && index <= l.last(), "raft: the commit index never falls or exceeds the log",
+	invariant.Assert(index >= l.commit && index <= l.last(), "raft: the commit index never decreases or exceeds the log",
 		slog.Uint64("index", index), slog.Uint64("commit", l.commit), slog.Uint64("last", l.last()))
 
-	l.uncommitted -= size(l.entries[l.commit-l.base : index-l.base])
+	l.uncommittedBytes -= totalBytes(l.entries[l.commit-l.base : index-l.base])
 	l.commit = index
 }
 
-// hint returns the highest entry up to index whose term is at most term.
-// Replicas that disagree skip a whole term with each message instead of one
-// entry (section 5.3 of the paper).
-func (l *entryLog) hint(index, term uint64) (hintIndex, hintTerm uint64) {
+// findConflictByTerm returns index and term of the highest entry up to index whose term
+// is at most term. It lets a leader and a follower with conflicting logs skip a whole
+// term with each message instead of one entry (section 5.3 of the paper).
+func (l *entryLog) findConflictByTerm(index, term uint64) (hintIndex, hintTerm uint64) {
 	for index = min(index, l.last()); index > l.base; index-- {
-		if own, _ := l.term(index); own <= term {
-			return index, own
+		if localTerm, _ := l.term(index); localTerm <= term {
+			return index, localTerm
 		}
 	}
 
 	return l.base, l.baseTerm
 }
 
-// compact keeps a snapshot and drops the entries it covers but for the last keep.
+// compact stores a snapshot and removes the entries that it covers, except the last keep entries.
 func (l *entryLog) compact(snapshot *Snapshot, keep uint64) {
 	l.snapshot = *snapshot
 
@@ -163,16 +163,16 @@
 	l.base = base
 }
 
-// restore replaces the log by a snapshot.
+// restore replaces the log with a snapshot.
 func (l *entryLog) restore(snapshot *Snapshot) {
 	invariant.Assert(snapshot.Index > l.commit, "raft: a snapshot never reverts committed entries",
 		slog.Uint64("index", snapshot.Index), slog.Uint64("commit", l.commit))
 
 	l.commit = snapshot.Index
-	l.uncommitted = 0
+	l.uncommittedBytes = 0
 	l.snapshot = *snapshot
 	l.base, l.baseTerm = snapshot.Index, snapshot.Term
 	l.entries = nil
 	l.stable = snapshot.Index
-	l.handed = snapshot.Index
+	l.delivered = snapshot.Index
 }
--- a/internal/coordination/raft/membership.go
+++ b/internal/coordination/raft/membership.go
@@ -9,14 +9,14 @@
 	"jayspindle/internal/state/wal"
 )
 
-// ChangeKind tells what a membership change does.
+// ChangeKind is the type of a membership change.
 type ChangeKind uint8
 
 // The membership changes, one replica at a time (section 4.1 of Ongaro's
 // dissertation).
 const (
 	ChangeAddLearner ChangeKind = iota + 1 // needs Member.ID and Member.Address
-	ChangePromote                          // makes a learner that has caught up a voter
+	ChangePromote                          // turns a learner that has caught up into a voter
 	ChangeRemove                           // removes a voter or a learner
 )
 
@@ -26,17 +26,17 @@
 	Member Member     `cbor:"2,keyasint"`
 }
 
-// version is a membership and the index of the entry that set it.
-type version struct {
+// membershipVersion is a membership and the index of the entry that set it.
+type membershipVersion struct {
 	index   uint64
 	members []Member
 }
 
-// membership is the history of memberships. The newest one is in force as soon
-// as its entry is in the log, committed or not.
-type membership []version
+// membershipHistory holds memberships in the order of their entries. The newest one is
+// effective as soon as its entry is in the log, committed or not.
+type membershipHistory []membershipVersion
 
-func (m membership) current() []Member {
+func (m membershipHistory) current() []Member {
 	if len(m) == 0 {
 		return nil
 	}
@@ -44,7 +44,7 @@
 	return m[len(m)-1].members
 }
 
-func (m membership) lastIndex() uint64 {
+func (m membershipHistory) lastIndex() uint64 {
 	if len(m) == 0 {
 		return 0
 	}
@@ -52,8 +52,8 @@
 	return m[len(m)-1].index
 }
 
-// at returns the membership in force at a log index.
-func (m membership) at(index uint64) []Member {
+// at returns the membership that is effective at a log index.
+func (m membershipHistory) at(index uint64) []Member {
 	for _, candidate := range slices.Backward(m) {
 		if candidate.index <= index {
 			return candidate.members
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// truncate drops the memberships set by entries from index on.
-func (m membership) truncate(index uint64) membership {
+// truncate removes the memberships set by entries from index on.
+func (m membershipHistory) truncate(index uint64) membershipHistory {
 	for len(m) > 0 && m[len(m)-1].index >= index {
 		m = m[:len(m)-1]
 	}
@@ -72,8 +72,8 @@
 	return m
 }
 
-// compact drops the memberships that a newer one replaced at index.
-func (m membership) compact(index uint64) membership {
+// compact removes the memberships that a newer one has replaced by index.
+func (m membershipHistory) compact(index uint64) membershipHistory {
 	for len(m) > 1 && m[1].index <= index {
 		m = m[1:]
 	}
@@ -81,7 +81,7 @@
 	return m
 }
 
-func find(members []Member, id ReplicaID) (Member, bool) {
+func findMember(members []Member, id ReplicaID) (Member, bool) {
 	position := slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
 	if position < 0 {
 		return Member{}, false
@@ -91,13 +91,13 @@
 }
 
 func (n *Node) isVoter(id ReplicaID) bool {
-	member, ok := find(n.members.current(), id)
+	member, ok := findMember(n.memberships.current(), id)
 
 	return ok && !member.Learner
 }
 
-// quorum reports whether a majority of the voters satisfies the condition.
-func quorum(members []Member, condition func(ReplicaID) bool) bool {
+// hasQuorum reports whether a majority of the voters satisfies the condition.
+func hasQuorum(members []Member, condition func(ReplicaID) bool) bool {
 	voters, count := 0, 0
 
 	for _, member := range members {
@@ -119,8 +119,8 @@
 
 func decodeMembers(encoded []byte) ([]Member, error) {
 	var members []Member
-	if err := decoding.Unmarshal(encoded, &members); err != nil {
-		return nil, fmt.Errorf("membership does not decode: %w", err)
+	if err := decodeMode.Unmarshal(encoded, &members); err != nil {
+		return nil, fmt.Errorf("decoding the membership: %w", err)
 	}
 
 	return members, checkMembers(members)
@@ -134,9 +134,9 @@
 	voters := 0
 
 	for i, member := range members {
-		_, twice := find(members[:i], member.ID)
-		if member.ID == 0 || twice || len(member.Address) > maxAddressBytes {
-			return fmt.Errorf("member %v at %q is listed twice or not valid", member.ID, member.Address)
+		_, duplicate := findMember(members[:i], member.ID)
+		if member.ID == 0 || duplicate || len(member.Address) > maxAddressBytes {
+			return fmt.Errorf("member %v at %q is a duplicate or invalid", member.ID, member.Address)
 		}
 
 		if !member.Learner {
@@ -151,25 +151,25 @@
 	return nil
 }
 
-// ChangeMembership proposes a change and returns the position of its entry. It
-// needs a committed entry of the own term (Ongaro's note on the raft-dev list
-// of July 2015) and no other change in progress. The error kinds are
+// ChangeMembership proposes a change and returns index and term of its entry. It
+// requires a committed entry of the current term (Ongaro's note on the raft-dev
+// list of July 2015) and no other change in progress. The error kinds are
 // KindNotLeader, KindTransferring, KindNotReady, KindInProgress, KindNotCaughtUp,
 // KindQuorum and KindInvalid.
 func (n *Node) ChangeMembership(change Change) (index, term uint64, err error) {
 	const operation = "change membership"
 
-	if err := n.refuseUnlessLeader(operation); err != nil {
+	if err := n.checkLeader(operation); err != nil {
 		return 0, 0, err
 	}
 
 	switch {
-	case n.transfer != 0:
-		return 0, 0, newError(operation, KindTransferring, "leadership moves to %v", n.transfer)
-	case !n.committedOwnTerm():
+	case n.transferTarget != 0:
+		return 0, 0, newError(operation, KindTransferring, "leadership is being transferred to %v", n.transferTarget)
+	case !n.hasCommittedOwnTerm():
 		return 0, 0, newError(operation, KindNotReady, "no entry of term %d is committed", n.term)
-	case n.members.lastIndex() > n.log.commit:
-		return 0, 0, newError(operation, KindInProgress, "change at index %d is not committed", n.members.lastIndex())
+	case n.memberships.lastIndex() > n.log.commit:
+		return 0, 0, newError(operation, KindInProgress, "change at index %d is not committed", n.memberships.lastIndex())
 	}
 
 	members, err := n.membersAfter(change)
@@ -177,8 +177,8 @@
 		return 0, 0, err
 	}
 
-	if !quorum(members, n.responsive) {
-		return 0, 0, newError(operation, KindQuorum, "too few of the remaining voters respond")
+	if !hasQuorum(members, n.responsive) {
+		return 0, 0, newError(operation, KindQuorum, "the change leaves too few responsive voters")
 	}
 
 	encoded, err := encodeMembers(members)
@@ -186,30 +186,30 @@
 		return 0, 0, newError(operation, KindInvalid, "%v", err)
 	}
 
-	return n.appendOwn(wal.EntryMembership, encoded), n.term, nil
+	return n.appendEntry(wal.EntryMembership, encoded), n.term, nil
 }
 
-// membersAfter returns the membership that a change leads to.
+// membersAfter returns the membership that results from a change.
 func (n *Node) membersAfter(change Change) ([]Member, error) {
 	const operation = "change membership"
 
-	members := slices.Clone(n.members.current())
+	members := slices.Clone(n.memberships.current())
 	id := change.Member.ID
 	position := slices.IndexFunc(members, func(m Member) bool { return m.ID == id })
 
 	switch change.Kind {
 	case ChangeAddLearner:
 		if position >= 0 {
-			return nil, newError(operation, KindInvalid, "replica %v is a member already", id)
+			return nil, newError(operation, KindInvalid, "replica %v is already a member", id)
 		}
 
 		members = append(members, Member{ID: id, Address: change.Member.Address, Learner: true})
 	case ChangePromote:
 		if position < 0 || !members[position].Learner {
-			return nil, newError(operation, KindInvalid, "replica %v is no learner", id)
+			return nil, newError(operation, KindInvalid, "replica %v is not a learner", id)
 		}
 
-		// In a short log the lag alone would admit a learner that stores nothing.
+		// A short log requires match > 0 too: there the lag is small even if the learner stores nothing.
 		match := n.progress[id].match
 		if lag := n.log.last() - match; match == 0 || lag > n.config.PromoteLag || !n.responsive(id) {
 			return nil, newError(operation, KindNotCaughtUp, "learner %v lags by %d entries", id, lag)
@@ -218,7 +218,7 @@
 		members[position].Learner = false
 	case ChangeRemove:
 		if position < 0 {
-			return nil, newError(operation, KindInvalid, "replica %v is no member", id)
+			return nil, newError(operation, KindInvalid, "replica %v is not a member", id)
 		}
 
 		members = slices.Delete(members, position, position+1)
--- a/internal/coordination/raft/message.go
+++ b/internal/coordination/raft/message.go
@@ -14,33 +14,33 @@
 	ReplicaID = wal.ReplicaID
 	// ClusterID identifies a controller group.
 	ClusterID = wal.ClusterID
-	// HardState is what a replica remembers besides its log.
+	// HardState is the persistent state of a replica besides its log: term, vote and commit index.
 	HardState = wal.HardState
 	// Entry is one entry of the log.
 	Entry = wal.Entry
 	// Member is one replica of the group.
 	Member = wal.Member
-	// Snapshot replaces the start of the log.
+	// Snapshot replaces the entries up to its index.
 	Snapshot = wal.Snapshot
-	// Stored is what a restarted replica continues from.
+	// Stored is the persistent state from which a restarted replica resumes.
 	Stored = wal.Stored
 )
 
 const (
-	// MaxMessageBytes bounds an encoded message.
+	// MaxMessageBytes limits the size of an encoded message.
 	MaxMessageBytes = 4 << 20
-	// MaxMessageEntries bounds the entries of one message.
+	// MaxMessageEntries limits the number of entries in one message.
 	MaxMessageEntries = 4096
-	// MaxMembers bounds a membership: 10 controllers and their replacements.
+	// MaxMembers limits the size of a membership: 10 controllers and their replacements.
 	MaxMembers = 20
 
 	maxAddressBytes = 256
 )
 
-// MessageKind tells what a message asks for or answers.
+// MessageKind is the type of a request or reply.
 type MessageKind uint8
 
-// The kinds of messages. A reply has the kind that follows its request.
+// The kinds of messages. The kind of a reply is the one after its request.
 const (
 	MessagePreVote MessageKind = iota + 1
 	MessagePreVoteReply
@@ -52,10 +52,10 @@
 	MessageHeartbeatReply
 	MessageSnapshot
 	MessageSnapshotReply
-	MessageTimeoutNow // the receiver starts an election at once
+	MessageTimeoutNow // the receiver starts an election immediately
 )
 
-var messageNames = [...]string{
+var messageKindNames = [...]string{
 	MessagePreVote:        "pre-vote",
 	MessagePreVoteReply:   "pre-vote reply",
 	MessageVote:           "vote",
@@ -71,31 +71,30 @@
 
 // String returns the kind as it appears in logs and traces.
 func (k MessageKind) String() string {
-	if int(k) < len(messageNames) && k > 0 {
-		return messageNames[k]
+	if int(k) < len(messageKindNames) && k > 0 {
+		return messageKindNames[k]
 	}
 
 	return fmt.Sprintf("message(%d)", uint8(k))
 }
 
-// Message is what replicas send to each other. Fields that a kind doesn't
-// mention are zero.
+// Message is a message between replicas. Fields that a kind doesn't use are zero.
 type Message struct {
 	Kind       MessageKind `cbor:"1,keyasint"`
 	Cluster    ClusterID   `cbor:"2,keyasint"`
 	Generation uint64      `cbor:"3,keyasint"`
 	From       ReplicaID   `cbor:"4,keyasint"`
 	To         ReplicaID   `cbor:"5,keyasint"`
-	Term       uint64      `cbor:"6,keyasint"` // of the sender, or proposed by a PreVote
-	LogIndex   uint64      `cbor:"7,keyasint"` // Append: entry before Entries; votes: last entry; replies: index answered
+	Term       uint64      `cbor:"6,keyasint"` // of the sender; PreVote and its grant: proposed term
+	LogIndex   uint64      `cbor:"7,keyasint"` // Append: entry before Entries; votes: last entry; replies: answered index
 	LogTerm    uint64      `cbor:"8,keyasint"` // term of the entry at LogIndex
 	Entries    []Entry     `cbor:"9,keyasint,omitempty"`
 	Commit     uint64      `cbor:"10,keyasint,omitempty"`
 	Reject     bool        `cbor:"11,keyasint,omitempty"`
-	Hint       uint64      `cbor:"12,keyasint,omitempty"` // AppendReply: where the logs may match
+	Hint       uint64      `cbor:"12,keyasint,omitempty"` // AppendReply: highest index at which the logs may match
 	HintTerm   uint64      `cbor:"13,keyasint,omitempty"`
 	Round      uint64      `cbor:"14,keyasint,omitempty"` // Heartbeat: confirms reads up to this round
-	Transfer   bool        `cbor:"15,keyasint,omitempty"` // Vote: the leader asked for this election
+	Transfer   bool        `cbor:"15,keyasint,omitempty"` // Vote: the leader requested this election
 	Chunk      *Chunk      `cbor:"16,keyasint,omitempty"` // Snapshot
 	Offset     uint64      `cbor:"17,keyasint,omitempty"` // SnapshotReply: bytes received
 }
@@ -110,9 +109,9 @@
 	Data    []byte   `cbor:"6,keyasint"`
 }
 
-var decoding = mustDecoding()
+var decodeMode = newDecodeMode()
 
-func mustDecoding() cbor.DecMode {
+func newDecodeMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: MaxMessageEntries,
 		MaxMapPairs:      64,
@@ -148,7 +147,7 @@
 	}
 
 	message := new(Message)
-	if err := decoding.Unmarshal(encoded, message); err != nil {
+	if err := decodeMode.Unmarshal(encoded, message); err != nil {
 		return nil, newError("decode", KindInvalid, "%v", err)
 	}
 
@@ -159,7 +158,7 @@
 	return message, nil
 }
 
-// check refuses contents that no replica sends.
+// check rejects contents that no correct replica sends.
 func (m *Message) check() error {
 	if m.Kind < MessagePreVote || m.Kind > MessageTimeoutNow {
 		return fmt.Errorf("%v does not exist", m.Kind)
--- a/internal/coordination/raft/network_test.go
+++ b/internal/coordination/raft/network_test.go
@@ -15,71 +15,71 @@
 )
 
 const (
-	cluster         = 77
-	generation      = 2
-	step            = 5 * time.Millisecond
-	electionTimeout = 100 * time.Millisecond
-	compactAfter    = 25
+	cluster             = 77
+	generation          = 2
+	tickInterval        = 5 * time.Millisecond
+	electionTimeout     = 100 * time.Millisecond
+	compactAfterEntries = 25
 )
 
 // host is a replica with its disk and application. The application's state is a
-// hash over all commands, so that a lost, changed or repeated one shows.
+// hash over all entries, which reveals a lost, changed or repeated one.
 type host struct {
-	id       raft.ReplicaID
-	disk     *disk.Disk
-	log      *wal.Log
-	node     *raft.Node // nil while it is down
-	frozen   bool
-	inbox    []raft.Message
-	applied  uint64
-	state    uint64
-	snapshot uint64
+	id        raft.ReplicaID
+	disk      *disk.Disk
+	log       *wal.Log
+	node      *raft.Node // nil while it is down
+	frozen    bool
+	inbox     []raft.Message
+	applied   uint64
+	stateHash uint64
+	snapshot  uint64
 }
 
 type link struct{ from, to raft.ReplicaID }
 
-type flight struct {
+type inFlightMessage struct {
 	due     time.Time
 	message raft.Message
 }
 
-// network runs hosts, loses messages and checks what Raft promises.
+// network simulates hosts and an unreliable network, and checks Raft's safety properties.
 type network struct {
-	t       *testing.T
-	random  *rand.Rand
-	now     time.Time
-	hosts   map[raft.ReplicaID]*host
-	order   []raft.ReplicaID
-	flights []flight
-	cut     map[link]bool
-	loss    int // percent of messages lost, duplicated, late
-
-	leaders   map[uint64]raft.ReplicaID // by term
-	states    map[uint64]uint64         // state after each applied index
-	highest   uint64
-	floors    map[uint64]uint64 // by read: highest applied index when it was asked
-	reads     uint64
-	confirmed int
-	installs  int
-	proposed  map[uint64]bool // numbers accepted by a leader
-	committed map[uint64]int  // how often each number was applied, by first appliers
-	crash     bool            // kill hosts in the middle of handling a Ready
-	members   []raft.Member
+	t           *testing.T
+	random      *rand.Rand
+	now         time.Time
+	hosts       map[raft.ReplicaID]*host
+	order       []raft.ReplicaID
+	inFlight    []inFlightMessage
+	cutLinks    map[link]bool
+	lossPercent int // probability of loss, of duplication and of a long delay
+
+	leaders            map[uint64]raft.ReplicaID // by term
+	stateHashes        map[uint64]uint64         // hash of the state after each applied index
+	highestApplied     uint64
+	minReadIndexes     map[uint64]uint64 // by read: highest applied index when it was requested
+	lastReadID         uint64
+	confirmedReads     int
+	installedSnapshots int
+	proposed           map[uint64]bool // command numbers accepted by a leader
+	applyCounts        map[uint64]int  // log entries per command number, not counted per host
+	crashEnabled       bool            // kill hosts at random while they handle a Ready
+	initialMembers     []raft.Member
 }
 
 func newNetwork(t *testing.T, seed uint64, size int) *network {
 	n := &network{
 		t: t, random: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(0, 0),
-		hosts: map[raft.ReplicaID]*host{}, cut: map[link]bool{}, leaders: map[uint64]raft.ReplicaID{},
-		states: map[uint64]uint64{1: 0}, highest: 1, floors: map[uint64]uint64{},
-		proposed: map[uint64]bool{}, committed: map[uint64]int{},
+		hosts: map[raft.ReplicaID]*host{}, cutLinks: map[link]bool{}, leaders: map[uint64]raft.ReplicaID{},
+		stateHashes: map[uint64]uint64{1: 0}, highestApplied: 1, minReadIndexes: map[uint64]uint64{},
+		proposed: map[uint64]bool{}, applyCounts: map[uint64]int{},
 	}
 
 	for id := range size {
-		n.members = append(n.members, raft.Member{ID: raft.ReplicaID(id + 1)})
+		n.initialMembers = append(n.initialMembers, raft.Member{ID: raft.ReplicaID(id + 1)})
 	}
 
-	for _, member := range n.members {
+	for _, member := range n.initialMembers {
 		n.start(n.add(member.ID), true)
 	}
 
@@ -100,8 +100,8 @@
 	n.check(err)
 
 	if bootstrap {
-		first := raft.Bootstrap(n.members, n.encode(1, 0))
-		n.check(log.SaveSnapshot(&first))
+		initial := raft.Bootstrap(n.initialMembers, n.encode(1, 0))
+		n.check(log.SaveSnapshot(&initial))
 	}
 
 	stored := log.Stored()
@@ -114,7 +114,7 @@
 	}, stored)
 	n.check(err)
 
-	h.applied, h.state, h.snapshot = 0, 0, 0
+	h.applied, h.stateHash, h.snapshot = 0, 0, 0
 
 	if stored.Snapshot.Index > 0 {
 		n.restore(h, &stored.Snapshot)
@@ -137,7 +137,7 @@
 	}
 }
 
-// kill stops a host; its disk loses what was not synced.
+// kill stops a host. Its disk loses the data that was not synced.
 func (n *network) kill(h *host) {
 	h.node, h.log, h.inbox = nil, nil, nil
 	h.disk.Crash()
@@ -149,33 +149,34 @@
 
 func (n *network) restore(h *host, s *raft.Snapshot) {
 	n.expect(s.Index > h.applied, "host %v: snapshot %d reverts applied index %d", h.id, s.Index, h.applied)
-	n.expect(len(s.Data) == 16 && binary.BigEndian.Uint64(s.Data) == s.Index, "snapshot %d is damaged", s.Index)
+	n.expect(len(s.Data) == 16 && binary.BigEndian.Uint64(s.Data) == s.Index, "snapshot %d is corrupt", s.Index)
 
-	h.applied, h.state, h.snapshot = s.Index, binary.BigEndian.Uint64(s.Data[8:]), s.Index
-	n.expect(h.state == n.states[s.Index], "host %v: snapshot %d has another state", h.id, s.Index)
+	h.applied, h.stateHash, h.snapshot = s.Index, binary.BigEndian.Uint64(s.Data[8:]), s.Index
+	n.expect(h.stateHash == n.stateHashes[s.Index], "host %v: snapshot %d has another state", h.id, s.Index)
 }
 
 func (n *network) apply(h *host, entry raft.Entry) {
 	n.expect(entry.Index == h.applied+1, "host %v applies %d after %d", h.id, entry.Index, h.applied)
 
 	h.applied = entry.Index
-	h.state = xxhash.Sum64(slices.Concat(n.encode(entry.Term, h.state), entry.Data))
+	h.stateHash = xxhash.Sum64(slices.Concat(n.encode(entry.Term, h.stateHash), entry.Data))
 
-	if state, ok := n.states[entry.Index]; ok {
-		n.expect(state == h.state, "host %v: committed entry %d changed", h.id, entry.Index)
+	if state, ok := n.stateHashes[entry.Index]; ok {
+		n.expect(state == h.stateHash, "host %v: committed entry %d changed", h.id, entry.Index)
 
 		return
 	}
 
-	n.states[entry.Index] = h.state
-	n.highest = max(n.highest, entry.Index)
+	n.stateHashes[entry.Index] = h.stateHash
+	n.highestApplied = max(n.highestApplied, entry.Index)
 
 	if entry.Kind == wal.EntryCommand {
-		n.committed[binary.BigEndian.Uint64(entry.Data)]++
+		n.applyCounts[binary.BigEndian.Uint64(entry.Data)]++
 	}
 }
 
-// handle does what every owner of a node does, and may die at any step.
+// handle does the work of a node's owner. With crashEnabled, the host may be killed between
+// any two steps.
 func (n *network) handle(h *host) {
 	for h.node != nil {
 		ready, ok := h.node.Ready()
@@ -183,15 +184,15 @@
 			return
 		}
 
-		if n.diesNow(h) || !n.save(h, &ready) || n.diesNow(h) {
+		if n.maybeKill(h) || !n.save(h, &ready) || n.maybeKill(h) {
 			return
 		}
 
 		for _, message := range ready.Messages {
-			n.post(message)
+			n.transmit(message)
 		}
 
-		if n.diesNow(h) {
+		if n.maybeKill(h) {
 			return
 		}
 
@@ -204,12 +205,12 @@
 		}
 
 		h.node.Advance(ready)
-		n.inspect(h)
+		n.checkLeaderAndCompact(h)
 	}
 }
 
-func (n *network) diesNow(h *host) bool {
-	if !n.crash || n.random.IntN(2000) > 0 {
+func (n *network) maybeKill(h *host) bool {
+	if !n.crashEnabled || n.random.IntN(2000) > 0 {
 		return false
 	}
 
@@ -219,7 +220,7 @@
 }
 
 func (n *network) save(h *host, ready *raft.Ready) bool {
-	if n.crash && n.random.IntN(2000) == 0 {
+	if n.crashEnabled && n.random.IntN(2000) == 0 {
 		h.disk.Limit(n.random.IntN(50))
 	}
 
@@ -228,7 +229,7 @@
 	if ready.Snapshot != nil {
 		if err = h.log.SaveSnapshot(ready.Snapshot); err == nil {
 			n.restore(h, ready.Snapshot)
-			n.installs++
+			n.installedSnapshots++
 		}
 	}
 
@@ -250,14 +251,15 @@
 		return
 	}
 
-	floor := n.floors[read.ID]
-	n.expect(read.Index >= floor && h.applied >= read.Index,
-		"host %v: read %d at index %d, applied %d, misses index %d", h.id, read.ID, read.Index, h.applied, floor)
-	n.confirmed++
+	minIndex := n.minReadIndexes[read.ID]
+	n.expect(read.Index >= minIndex && h.applied >= read.Index,
+		"host %v: read %d at index %d, applied %d, misses index %d", h.id, read.ID, read.Index, h.applied, minIndex)
+	n.confirmedReads++
 }
 
-// inspect checks one leader per term and compacts.
-func (n *network) inspect(h *host) {
+// checkLeaderAndCompact checks that each term has at most one leader, and compacts the log
+// when enough entries were applied.
+func (n *network) checkLeaderAndCompact(h *host) {
 	if h.node == nil {
 		return
 	}
@@ -269,8 +271,8 @@
 		n.leaders[s.Term] = h.id
 	}
 
-	if h.applied >= h.snapshot+compactAfter {
-		snapshot, err := h.node.Compact(h.applied, n.encode(h.applied, h.state))
+	if h.applied >= h.snapshot+compactAfterEntries {
+		snapshot, err := h.node.Compact(h.applied, n.encode(h.applied, h.stateHash))
 		n.check(err)
 		n.check(h.log.SaveSnapshot(snapshot))
 		n.check(h.log.Compact())
@@ -279,8 +281,9 @@
 	}
 }
 
-// post puts a message on the wire through the codec.
-func (n *network) post(message raft.Message) {
+// transmit encodes and decodes a message and schedules its delivery, unless the link is
+// cut or the message is lost.
+func (n *network) transmit(message raft.Message) {
 	n.expect(len(message.Entries) <= 7, "message with %d entries", len(message.Entries))
 
 	encoded, err := raft.EncodeMessage(&message)
@@ -289,48 +292,48 @@
 	decoded, err := raft.DecodeMessage(encoded)
 	n.check(err)
 
-	if n.cut[link{message.From, message.To}] || n.random.IntN(100) < n.loss {
+	if n.cutLinks[link{message.From, message.To}] || n.random.IntN(100) < n.lossPercent {
 		return
 	}
 
 	for copies := 1; copies > 0; copies-- {
-		delay := time.Duration(n.random.Int64N(int64(2 * step)))
+		delay := time.Duration(n.random.Int64N(int64(2 * tickInterval)))
 
-		if n.random.IntN(100) < n.loss {
+		if n.random.IntN(100) < n.lossPercent {
 			delay += time.Duration(n.random.Int64N(int64(2 * electionTimeout)))
 		}
 
-		if n.random.IntN(100) < n.loss {
+		if n.random.IntN(100) < n.lossPercent {
 			copies++
 		}
 
-		n.flights = append(n.flights, flight{due: n.now.Add(delay), message: *decoded})
+		n.inFlight = append(n.inFlight, inFlightMessage{due: n.now.Add(delay), message: *decoded})
 	}
 }
 
-// run lets time pass. Messages that are due arrive in the order of posting, which
-// random delays have changed.
-func (n *network) run(duration time.Duration) {
-	for end := n.now.Add(duration); n.now.Before(end); {
-		n.now = n.now.Add(step)
-		due := n.flights
-		n.flights = nil
+// advance runs the simulation for a duration. Random delays reorder messages between
+// ticks; those due in the same tick arrive in the order in which they were sent.
+func (n *network) advance(duration time.Duration) {
+	for deadline := n.now.Add(duration); n.now.Before(deadline); {
+		n.now = n.now.Add(tickInterval)
+		due := n.inFlight
+		n.inFlight = nil
 
 		for _, f := range due {
 			if f.due.After(n.now) {
-				n.flights = append(n.flights, f)
+				n.inFlight = append(n.inFlight, f)
 			} else if h := n.hosts[f.message.To]; h != nil && h.node != nil {
 				h.inbox = append(h.inbox, f.message)
 			}
 		}
 
 		for _, id := range n.order {
-			n.turn(n.hosts[id])
+			n.runHost(n.hosts[id])
 		}
 	}
 }
 
-func (n *network) turn(h *host) {
+func (n *network) runHost(h *host) {
 	if h.node == nil || h.frozen {
 		return
 	}
--- a/internal/coordination/raft/progress.go
+++ b/internal/coordination/raft/progress.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// progress is what a leader knows about another replica.
+// progress is the leader's view of another replica's log.
 type progress struct {
-	match     uint64 // the replica's disk holds the log up to here
-	next      uint64 // first entry to send
-	streaming bool   // send ahead; otherwise one message at a time until a match is found
-	paused    bool   // a probe or chunk is unanswered
-	inflight  []uint64
-	commit    uint64 // highest commit index sent with entries that match
-	lastHeard time.Time
-	round     uint64    // highest heartbeat round answered
-	beat      time.Time // last check for lost messages
-	beatMatch uint64    // match at that time
+	match          uint64   // highest entry known to be on the replica's disk
+	next           uint64   // next entry to send
+	streaming      bool     // pipeline messages; otherwise one at a time until the logs match
+	awaitingReply  bool     // a probe, chunk or TimeoutNow is unanswered
+	inflight       []uint64 // last index of each unanswered message with entries
+	sentCommit     uint64   // highest commit index sent in an Append
+	lastContact    time.Time
+	answeredRound  uint64    // highest heartbeat round answered
+	lastLossCheck  time.Time // time of the last check for lost messages
+	lossCheckMatch uint64    // match at that check
 
 	snapshot *Snapshot // being sent
 	offset   uint64
 }
 
-// acknowledge notes that the replica holds the log up to index.
+// acknowledge records that the replica has stored the log up to index.
 func (p *progress) acknowledge(index uint64) {
-	p.paused = false
+	p.awaitingReply = false
 
 	if index < p.match {
 		return
@@ -41,32 +41,32 @@
 	}
 }
 
-// probe goes back to an entry and sends one message at a time.
+// probe resumes at an entry and sends one message at a time until the replica acknowledges it.
 func (p *progress) probe(next uint64) {
 	p.next = max(next, p.match+1)
 	p.streaming = false
-	p.paused = false
+	p.awaitingReply = false
 	p.inflight = nil
 }
 
-// syncProgress adds and removes the progress of members.
+// syncProgress adds the progress of new members and removes that of former members.
 func (n *Node) syncProgress() {
-	members := n.members.current()
+	members := n.memberships.current()
 
 	for id := range n.progress {
-		if _, ok := find(members, id); !ok {
+		if _, ok := findMember(members, id); !ok {
 			delete(n.progress, id)
 		}
 	}
 
 	for _, member := range members {
 		if member.ID != n.config.Replica && n.progress[member.ID] == nil {
-			n.progress[member.ID] = &progress{next: n.log.last() + 1, lastHeard: n.now}
+			n.progress[member.ID] = &progress{next: n.log.last() + 1, lastContact: n.now}
 		}
 	}
 }
 
-// responsive reports whether a replica was heard within an election timeout.
+// responsive reports whether a replica replied within the last election timeout.
 func (n *Node) responsive(id ReplicaID) bool {
 	if id == n.config.Replica {
 		return true
@@ -74,5 +74,5 @@
 
 	p := n.progress[id]
 
-	return p != nil && n.now.Before(p.lastHeard.Add(n.config.ElectionTimeout))
+	return p != nil && n.now.Before(p.lastContact.Add(n.config.ElectionTimeout))
 }
--- a/internal/coordination/raft/raft.go
+++ b/internal/coordination/raft/raft.go
@@ -1,16 +1,16 @@
-// Package raft is the replicated log as a deterministic state machine: it has no
-// goroutine, socket, clock or global random source. It implements Raft (D. Ongaro
+// Package raft implements a replicated log as a deterministic state machine: it has
+// no goroutine, socket, clock or global random source. It implements Raft (D. Ongaro
 // and J. Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014)
 // with these parts of Ongaro's dissertation ("Consensus: Bridging Theory and
 // Practice", 2014): membership changes of one replica at a time (4.1), learners
-// that catch up without a vote (4.2.1), refusal of votes while a leader is heard
+// that catch up without a vote (4.2.1), refusal of votes while a leader is active
 // (4.2.3), leadership transfer (3.10), chunked snapshots (5), read index (6.4),
 // a leader that steps down without a quorum (6.2) and pre-vote (9.6).
 //
 // A replica is identified by the random ID of its data directory. A replica that
-// lost its disk has a new ID and joins as a learner; the old ID is removed. The
-// first members of a group all start from the same snapshot, see Bootstrap. A
-// replica with nothing stored waits until a leader sends it a snapshot.
+// lost its disk gets a new ID and joins as a learner; the old ID is removed. The
+// initial members of a group all start from the same snapshot, see Bootstrap. A
+// replica with empty storage waits until a leader sends it a snapshot.
 //
 // # Usage
 //
@@ -23,15 +23,15 @@
 //		if ready.Snapshot != nil {
 //			err = log.SaveSnapshot(ready.Snapshot)   // then restore the application from it
 //		}
-//		err = log.Save(ready.HardState, ready.Entries) // durable before any message leaves
+//		err = log.Save(ready.HardState, ready.Entries) // durable before any message is sent
 //		send(ready.Messages)
 //		apply(ready.Committed)
 //		answer(ready.Reads)
 //		node.Advance(ready)
 //	}
 //
-// From time to time the owner calls Compact with the application's state and
-// saves the returned snapshot. A failed save is final: the process must stop.
+// The owner periodically calls Compact with the application's state and saves the
+// returned snapshot. If a save fails, the process must stop.
 //
 // Invariants are asserted inside the state machine with package invariant.
 package raft
@@ -46,7 +46,7 @@
 	"jayspindle/internal/state/wal"
 )
 
-// Role is the part that a replica plays in its term.
+// Role is the role of a replica in its current term.
 type Role uint8
 
 // The roles.
@@ -73,34 +73,34 @@
 	}
 }
 
-// Config holds the dependencies and bounds of a Node. Zero bounds get the
-// defaults named beside them.
+// Config holds the dependencies and limits of a Node. A limit of zero means the
+// default given in its comment.
 type Config struct {
 	Replica    ReplicaID
 	Cluster    ClusterID
 	Generation uint64
 	Random     *rand.Rand // seeded, for election timeouts
-	Now        time.Time  // time of the start
+	Now        time.Time  // start time
 
-	ElectionTimeout   time.Duration // 500 ms; each wait is 1 to 2 times as long
-	HeartbeatInterval time.Duration // 100 ms; five fit into an election timeout, so one may be lost
-	MaxProposalBytes  int           // 2 MiB: a document of 1 MiB and its signatures
-	MaxAppendBytes    int           // 512 KiB of entries in one message, or a single entry
+	ElectionTimeout   time.Duration // 500 ms; the actual timeout is random, 1 to 2 times this
+	HeartbeatInterval time.Duration // 100 ms; five per election timeout, so one may be lost
+	MaxProposalBytes  int           // 2 MiB; fits a document of 1 MiB and its signatures
+	MaxAppendBytes    int           // 512 KiB of entries in one message; a single larger entry is still sent
 	MaxAppendEntries  int           // 512
 	MaxInflight       int           // 16 unanswered messages with entries per replica
 	MaxUncommitted    int           // 8 MiB of entries that are not committed
 	MaxLogEntries     uint64        // 100,000 entries since the last snapshot
 	MaxApplyEntries   int           // 1,024 committed entries in one Ready
 	MaxReads          int           // 4,096 unconfirmed reads
-	KeepEntries       uint64        // 1,000 entries before a snapshot, for replicas that are a little behind
-	PromoteLag        uint64        // 64 entries a learner may lag when it is promoted
+	KeepEntries       uint64        // 1,000 entries kept before a snapshot, for replicas that lag slightly
+	PromoteLag        uint64        // 64 entries that a learner may lag behind when it is promoted
 	ChunkBytes        int           // 256 KiB of snapshot data in one message
 }
 
-func setDefault[T comparable](value *T, standard T) {
+func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
-		*value = standard
+		*value = defaultValue
 	}
 }
 
@@ -119,7 +119,7 @@
 	setDefault(&c.PromoteLag, 64)
 	setDefault(&c.ChunkBytes, 256<<10)
 
-	// Receivers refuse more, whatever the sender is configured to.
+	// Receivers reject larger messages regardless of the sender's configuration.
 	c.MaxAppendEntries = min(c.MaxAppendEntries, MaxMessageEntries)
 	c.MaxProposalBytes = min(c.MaxProposalBytes, MaxMessageBytes/2)
 	c.MaxAppendBytes = min(c.MaxAppendBytes, MaxMessageBytes/2)
@@ -128,49 +128,49 @@
 	return c
 }
 
-// Node is one replica. It is used by one goroutine at a time.
+// Node is one replica. It is not safe for concurrent use.
 type Node struct {
-	config  Config
-	log     *entryLog
-	members membership
-
-	term       uint64
-	vote       ReplicaID
-	saved      HardState // as handed out by the last Ready
-	role       Role
-	leader     ReplicaID // believed to lead, for hints and the lease
-	termLeader ReplicaID // first leader seen in this term
-
-	now          time.Time
-	electionDue  time.Time
-	heartbeatDue time.Time
-	leaderSeen   time.Time
+	config      Config
+	log         *entryLog
+	memberships membershipHistory
+
+	term          uint64
+	vote          ReplicaID
+	lastHardState HardState // last one returned by Ready
+	role          Role
+	leader        ReplicaID // presumed leader or 0, for redirects and the leader lease
+	termLeader    ReplicaID // leader of the current term once known, even after it stepped down
+
+	now               time.Time
+	electionDue       time.Time
+	heartbeatDue      time.Time
+	lastLeaderContact time.Time
 
 	votes    map[ReplicaID]bool
 	progress map[ReplicaID]*progress
 
-	transfer    ReplicaID
-	transferDue time.Time
+	transferTarget   ReplicaID
+	transferDeadline time.Time
 
-	round     uint64 // of the last heartbeat sent
-	roundDue  bool   // a read waits for a heartbeat
-	reads     []pendingRead
-	readsDone []Read
+	round          uint64 // number of the last heartbeat round
+	needsHeartbeat bool   // a pending read needs a heartbeat round
+	reads          []pendingRead
+	readsDone      []Read
 
-	incoming *incomingSnapshot
-	install  *Snapshot
-	messages []Message
-	pending  bool // a Ready was not advanced yet
-	dropped  uint64
+	incoming          *incomingSnapshot
+	installedSnapshot *Snapshot
+	messages          []Message
+	readyPending      bool // the last Ready has not been passed to Advance yet
+	droppedMessages   uint64
 }
 
-// Bootstrap returns the snapshot that every first member of a group stores
-// before its first New. The data is the application's initial state.
+// Bootstrap returns the snapshot that every initial member of a group stores
+// before its first call of New. The data is the application's initial state.
 func Bootstrap(members []Member, data []byte) Snapshot {
 	return Snapshot{Index: 1, Term: 1, Members: members, Data: data}
 }
 
-// New returns a replica that continues from its stored state. The error kinds
+// New returns a replica that resumes from its stored state. The error kinds
 // are KindInvalid and KindStored.
 func New(config Config, stored Stored) (*Node, error) {
 	if config.Replica == 0 || config.Random == nil {
@@ -184,10 +184,11 @@
 
 	n := &Node{config: config.withDefaults(), log: log, role: Follower, now: config.Now}
 	n.term, n.vote = stored.HardState.Term, stored.HardState.Vote
-	n.saved = stored.HardState
+	n.lastHardState = stored.HardState
 
-	// A crash between saving entries or a snapshot and saving the hard state
-	// leaves a higher term in the log. Nothing was sent in that term.
+	// A crash after entries or a snapshot were saved and before the hard state was
+	// leaves a higher term in the log. No message of that term was sent, so no vote
+	// was cast in it.
 	if n.term < log.lastTerm() {
 		n.term, n.vote = log.lastTerm(), 0
 	}
@@ -197,22 +198,22 @@
 			return nil, newError("new", KindStored, "snapshot %d: %v", stored.Snapshot.Index, err)
 		}
 
-		n.members = membership{{index: stored.Snapshot.Index, members: stored.Snapshot.Members}}
+		n.memberships = membershipHistory{{index: stored.Snapshot.Index, members: stored.Snapshot.Members}}
 	}
 
 	for _, entry := range log.entries {
-		if err := n.noteMembership(entry); err != nil {
+		if err := n.recordMembership(entry); err != nil {
 			return nil, newError("new", KindStored, "entry %d: %v", entry.Index, err)
 		}
 	}
 
-	n.resetElection()
+	n.resetElectionTimer()
 
 	return n, nil
 }
 
-// noteMembership puts a membership in force when its entry enters the log.
-func (n *Node) noteMembership(entry Entry) error {
+// recordMembership makes a membership effective as soon as its entry is in the log.
+func (n *Node) recordMembership(entry Entry) error {
 	if entry.Kind != wal.EntryMembership {
 		return nil
 	}
@@ -222,7 +223,7 @@
 		return err
 	}
 
-	n.members = append(n.members, version{index: entry.Index, members: members})
+	n.memberships = append(n.memberships, membershipVersion{index: entry.Index, members: members})
 
 	if n.role == Leader {
 		n.syncProgress()
@@ -231,7 +232,7 @@
 	return nil
 }
 
-// Tick tells the time. Times before the last one are ignored.
+// Tick advances the clock and runs timeouts. Times before the last one are ignored.
 func (n *Node) Tick(now time.Time) {
 	if now.Before(n.now) {
 		return
@@ -250,9 +251,9 @@
 	}
 }
 
-// setTerm enters a term. The vote of an earlier term is void.
+// setTerm moves to a term. A higher term clears the vote and the leader of the earlier one.
 func (n *Node) setTerm(term uint64) {
-	invariant.Assert(term >= n.term, "raft: the term never falls",
+	invariant.Assert(term >= n.term, "raft: the term never decreases",
 		slog.Uint64("term", term), slog.Uint64("current", n.term))
 
 	if term > n.term {
@@ -265,14 +266,15 @@
 	n.role = Follower
 	n.leader = leader
 	n.progress = nil
-	n.transfer = 0
+	n.transferTarget = 0
 	n.dropReads()
-	n.resetElection()
+	n.resetElectionTimer()
 }
 
-// followLeader accepts the sender of an Append, Heartbeat or Snapshot message.
+// followLeader accepts the sender of an Append, Heartbeat or Snapshot message as the
+// leader of the current term.
 func (n *Node) followLeader(id ReplicaID) {
-	invariant.Assert(n.termLeader == 0 || n.termLeader == id, "raft: one leader a term",
+	invariant.Assert(n.termLeader == 0 || n.termLeader == id, "raft: at most one leader per term",
 		slog.Uint64("term", n.term), slog.Any("leader", n.termLeader), slog.Any("other", id))
 
 	if n.role != Follower {
@@ -280,12 +282,12 @@
 	}
 
 	n.leader, n.termLeader = id, id
-	n.leaderSeen = n.now
-	n.resetElection()
+	n.lastLeaderContact = n.now
+	n.resetElectionTimer()
 }
 
-// resetElection draws the next election timeout.
-func (n *Node) resetElection() {
+// resetElectionTimer restarts the election timer with a new random timeout.
+func (n *Node) resetElectionTimer() {
 	timeout := n.config.ElectionTimeout
 	n.electionDue = n.now.Add(timeout + time.Duration(n.config.Random.Int64N(int64(timeout))))
 }
--- a/internal/coordination/raft/read.go
+++ b/internal/coordination/raft/read.go
@@ -1,57 +1,58 @@
 package raft
 
-// pendingRead waits for a heartbeat round and for the log to be applied.
+// pendingRead is a read that waits for a heartbeat round to be confirmed by a quorum
+// and for the entries up to its index to be applied.
 type pendingRead struct {
 	id    uint64
 	round uint64
-	index uint64 // 0 until an entry of the own term is committed
+	index uint64 // 0 until an entry of the current term is committed
 }
 
 // Read is the outcome of a read request.
 type Read struct {
 	ID    uint64
-	Index uint64 // the read sees all entries up to here
-	Lost  bool   // the replica no longer leads; ask the new leader
+	Index uint64 // the read reflects all entries up to this index
+	Lost  bool   // the replica no longer leads; retry at the new leader
 }
 
-// ReadIndex asks for a linearizable read (section 6.4 of the dissertation). The
-// read may be served when a Ready lists its ID, after the committed entries of
-// that Ready are applied. The error kinds are KindNotLeader and KindBusy.
+// ReadIndex requests a linearizable read (section 6.4 of the dissertation). The read
+// may be served once a Ready lists its ID and the committed entries of that Ready
+// are applied. The error kinds are KindNotLeader and KindBusy.
 func (n *Node) ReadIndex(id uint64) error {
-	if err := n.refuseUnlessLeader("read"); err != nil {
+	if err := n.checkLeader("read"); err != nil {
 		return err
 	}
 
 	if len(n.reads) >= n.config.MaxReads {
-		return newError("read", KindBusy, "%d reads wait for confirmation", len(n.reads))
+		return newError("read", KindBusy, "%d reads are unconfirmed", len(n.reads))
 	}
 
 	read := pendingRead{id: id, round: n.round + 1}
-	if n.committedOwnTerm() {
+	if n.hasCommittedOwnTerm() {
 		read.index = n.log.commit
 	}
 
 	n.reads = append(n.reads, read)
-	n.roundDue = true
+	n.needsHeartbeat = true
 
 	return nil
 }
 
-// confirmReads moves the reads that are confirmed and applied to the results.
-// Rounds and indexes ascend, so the first read that waits ends the loop.
+// confirmReads moves the reads that are confirmed and applied to readsDone. Rounds and
+// indexes are in ascending order, so it stops at the first read that still waits.
 func (n *Node) confirmReads() {
 	for len(n.reads) > 0 {
 		read := &n.reads[0]
 
-		if read.index == 0 && n.committedOwnTerm() {
+		if read.index == 0 && n.hasCommittedOwnTerm() {
 			read.index = n.log.commit
 		}
 
-		confirmed := quorum(n.members.current(), func(id ReplicaID) bool {
-			return id == n.config.Replica || n.progress[id].round >= read.round
+		confirmed := hasQuorum(n.memberships.current(), func(id ReplicaID) bool {
+			return id == n.config.Replica || n.progress[id].answeredRound >= read.round
 		})
 
-		if read.index == 0 || read.index > n.log.handed || !confirmed {
+		if read.index == 0 || read.index > n.log.delivered || !confirmed {
 			return
 		}
 
@@ -60,11 +61,11 @@
 	}
 }
 
-// dropReads ends all reads of a replica that no longer leads.
+// dropReads reports all pending reads as lost when the replica stops leading.
 func (n *Node) dropReads() {
 	for _, read := range n.reads {
 		n.readsDone = append(n.readsDone, Read{ID: read.id, Lost: true})
 	}
 
-	n.reads, n.roundDue = nil, false
+	n.reads, n.needsHeartbeat = nil, false
 }
--- a/internal/coordination/raft/receive.go
+++ b/internal/coordination/raft/receive.go
@@ -1,25 +1,24 @@
 package raft
 
-// Receive handles a message. It returns an error of KindForeign for a message to
-// another replica, cluster or generation and of KindInvalid for a malformed one;
-// both are dropped.
+// Receive handles a message. It drops a message to another replica, cluster or
+// generation with an error of KindForeign and a malformed one with KindInvalid.
 func (n *Node) Receive(message Message) error {
 	m := &message
 
 	if m.To != n.config.Replica || m.Cluster != n.config.Cluster || m.Generation != n.config.Generation {
-		n.dropped++
+		n.droppedMessages++
 
 		return newError("receive", KindForeign, "message to replica %v of cluster %v generation %d",
 			m.To, m.Cluster, m.Generation)
 	}
 
 	if err := m.check(); err != nil {
-		n.dropped++
+		n.droppedMessages++
 
 		return newError("receive", KindInvalid, "%v", err)
 	}
 
-	if !n.enterTerm(m) {
+	if !n.reconcileTerm(m) {
 		return nil
 	}
 
@@ -28,19 +27,21 @@
 	return nil
 }
 
-// enterTerm compares the terms and reports whether the message is to be handled.
-func (n *Node) enterTerm(m *Message) bool {
-	prospective := m.Kind == MessagePreVote || (m.Kind == MessagePreVoteReply && !m.Reject)
+// reconcileTerm compares the message's term with the current one, moves to a higher term
+// and reports whether the message should be handled. The proposed term of a pre-vote is
+// not entered.
+func (n *Node) reconcileTerm(m *Message) bool {
+	proposesTerm := m.Kind == MessagePreVote || (m.Kind == MessagePreVoteReply && !m.Reject)
 
 	switch {
-	case m.Term > n.term && prospective:
+	case m.Term > n.term && proposesTerm:
 		return true
-	case m.Term > n.term && m.Kind == MessageVote && !m.Transfer && n.leased():
+	case m.Term > n.term && m.Kind == MessageVote && !m.Transfer && n.hasLeaderLease():
 		return false
 	case m.Term > n.term:
 		n.becomeFollower(m.Term, 0)
 	case m.Term < n.term:
-		n.answerStale(m)
+		n.replyToStaleTerm(m)
 
 		return false
 	}
@@ -48,10 +49,10 @@
 	return true
 }
 
-// answerStale tells a replica with an old term about the new one. Without an
-// answer, a leader could not reach a replica that has a higher term than the
-// rest of the group.
-func (n *Node) answerStale(m *Message) {
+// replyToStaleTerm sends the current term to a replica with a lower one. Without this
+// reply, a leader could never replicate to a replica whose term is higher than that of
+// the rest of the group.
+func (n *Node) replyToStaleTerm(m *Message) {
 	switch m.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		n.send(Message{Kind: MessageHeartbeatReply, To: m.From})
@@ -91,14 +92,14 @@
 	}
 }
 
-// dispatchReply handles what only a leader expects, from members.
+// dispatchReply handles replies that only a leader expects. Others and those of non-members are ignored.
 func (n *Node) dispatchReply(m *Message) {
 	p := n.progress[m.From]
 	if n.role != Leader || p == nil {
 		return
 	}
 
-	p.lastHeard = n.now
+	p.lastContact = n.now
 
 	switch m.Kind {
 	case MessageAppendReply:
--- a/internal/coordination/raft/replicate.go
+++ b/internal/coordination/raft/replicate.go
@@ -6,64 +6,64 @@
 	"jayspindle/internal/state/wal"
 )
 
-// Propose appends a command to the leader's log and returns its position. The
+// Propose appends a command to the leader's log and returns its index and term. The
 // command is committed once a Ready lists an entry with this index and term; an
 // entry with this index and another term means that the command was lost. The
 // error kinds are KindNotLeader, KindTransferring, KindTooLarge and KindBusy.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	const operation = "propose"
 
-	if err := n.refuseUnlessLeader(operation); err != nil {
+	if err := n.checkLeader(operation); err != nil {
 		return 0, 0, err
 	}
 
 	switch {
-	case n.transfer != 0:
-		return 0, 0, newError(operation, KindTransferring, "leadership moves to %v", n.transfer)
+	case n.transferTarget != 0:
+		return 0, 0, newError(operation, KindTransferring, "leadership is being transferred to %v", n.transferTarget)
 	case len(data) > n.config.MaxProposalBytes:
 		return 0, 0, newError(operation, KindTooLarge, "%d bytes exceed %d", len(data), n.config.MaxProposalBytes)
 	case n.log.last()-n.log.snapshot.Index >= n.config.MaxLogEntries:
-		return 0, 0, newError(operation, KindBusy, "%d entries wait for a snapshot", n.config.MaxLogEntries)
-	case n.log.uncommitted+len(data) > n.config.MaxUncommitted:
-		return 0, 0, newError(operation, KindBusy, "%d bytes are not committed", n.log.uncommitted)
+		return 0, 0, newError(operation, KindBusy, "%d entries since the last snapshot", n.config.MaxLogEntries)
+	case n.log.uncommittedBytes+len(data) > n.config.MaxUncommitted:
+		return 0, 0, newError(operation, KindBusy, "%d bytes are uncommitted", n.log.uncommittedBytes)
 	}
 
-	return n.appendOwn(wal.EntryCommand, data), n.term, nil
+	return n.appendEntry(wal.EntryCommand, data), n.term, nil
 }
 
-// appendOwn appends an entry of the leader.
-func (n *Node) appendOwn(kind wal.EntryKind, data []byte) uint64 {
+// appendEntry appends an entry of the current term to the leader's log.
+func (n *Node) appendEntry(kind wal.EntryKind, data []byte) uint64 {
 	entry := Entry{Index: n.log.last() + 1, Term: n.term, Kind: kind, Data: data}
 	n.log.append(entry)
 
-	// The leader encoded the membership itself.
-	if err := n.noteMembership(entry); err != nil {
+	// Cannot fail: the leader encoded the membership itself.
+	if err := n.recordMembership(entry); err != nil {
 		panic(err)
 	}
 
 	return entry.Index
 }
 
-// flush sends what the replicas lack. It runs once per Ready, so that proposals
-// between two Readys share a message.
-func (n *Node) flush() {
+// replicateToAll sends each replica the entries that it lacks. It runs once per Ready, so
+// that the proposals between two calls of Ready are sent in one message.
+func (n *Node) replicateToAll() {
 	if n.role != Leader {
 		return
 	}
 
-	if n.roundDue {
-		n.heartbeat()
+	if n.needsHeartbeat {
+		n.sendHeartbeats()
 	}
 
-	for _, member := range n.members.current() {
+	for _, member := range n.memberships.current() {
 		if p := n.progress[member.ID]; p != nil {
-			n.sendMissing(member.ID, p)
+			n.replicateTo(member.ID, p)
 		}
 	}
 }
 
-func (n *Node) sendMissing(to ReplicaID, p *progress) {
-	for !p.paused && len(p.inflight) < n.config.MaxInflight {
+func (n *Node) replicateTo(to ReplicaID, p *progress) {
+	for !p.awaitingReply && len(p.inflight) < n.config.MaxInflight {
 		if p.snapshot != nil || p.next <= n.log.base {
 			n.sendChunk(to, p)
 
@@ -71,7 +71,7 @@
 		}
 
 		entries := n.log.slice(p.next, n.log.last(), n.config.MaxAppendEntries, n.config.MaxAppendBytes)
-		if len(entries) == 0 && p.streaming && p.commit >= n.log.commit {
+		if len(entries) == 0 && p.streaming && p.sentCommit >= n.log.commit {
 			break
 		}
 
@@ -82,8 +82,8 @@
 		}
 	}
 
-	if n.transfer == to && p.match == n.log.last() && !p.paused {
-		p.paused = true // until the next heartbeat is answered
+	if n.transferTarget == to && p.match == n.log.last() && !p.awaitingReply {
+		p.awaitingReply = true // until the next heartbeat is answered
 		n.send(Message{Kind: MessageTimeoutNow, To: to})
 	}
 }
@@ -96,8 +96,8 @@
 		Kind: MessageAppend, To: to, LogIndex: previous, LogTerm: term, Entries: entries, Commit: n.log.commit,
 	})
 
-	p.commit = n.log.commit
-	p.paused = !p.streaming
+	p.sentCommit = n.log.commit
+	p.awaitingReply = !p.streaming
 
 	if len(entries) > 0 && p.streaming {
 		p.next += uint64(len(entries))
@@ -113,7 +113,7 @@
 	}
 
 	if !n.log.matches(m.LogIndex, m.LogTerm) {
-		hint, term := n.log.hint(m.LogIndex, m.LogTerm)
+		hint, term := n.log.findConflictByTerm(m.LogIndex, m.LogTerm)
 		n.send(Message{
 			Kind: MessageAppendReply, To: m.From, LogIndex: m.LogIndex, Reject: true, Hint: hint, HintTerm: term,
 		})
@@ -128,23 +128,23 @@
 
 		if entry.Index <= n.log.last() {
 			n.log.truncate(entry.Index)
-			n.members = n.members.truncate(entry.Index)
+			n.memberships = n.memberships.truncate(entry.Index)
 		}
 
 		n.log.append(entry)
 
-		// Receive has checked that the membership decodes.
-		if err := n.noteMembership(entry); err != nil {
+		// Cannot fail: Receive has checked that the membership can be decoded.
+		if err := n.recordMembership(entry); err != nil {
 			panic(err)
 		}
 	}
 
 	last := m.LogIndex + uint64(len(m.Entries))
-	n.commitFollower(min(m.Commit, last))
+	n.advanceFollowerCommit(min(m.Commit, last))
 	n.send(Message{Kind: MessageAppendReply, To: m.From, LogIndex: last})
 }
 
-func (n *Node) commitFollower(index uint64) {
+func (n *Node) advanceFollowerCommit(index uint64) {
 	if index > n.log.commit {
 		n.log.commitTo(index)
 	}
@@ -160,62 +160,65 @@
 		return
 	}
 
-	// A rejection of an entry that is known to match was overtaken by the match.
+	// The rejection is outdated: the entry is known to match by now, or an earlier probe was rejected.
 	if m.LogIndex <= p.match || (!p.streaming && m.LogIndex != p.next-1) {
 		return
 	}
 
-	hint, term := n.log.hint(m.Hint, m.HintTerm)
+	hint, term := n.log.findConflictByTerm(m.Hint, m.HintTerm)
 	p.probe(hint + 1)
 
-	// The logs differ up to the first entry that is left: a snapshot is needed.
+	// The logs differ at the compaction point too, so a snapshot has to be sent.
 	if hint == n.log.base && (m.Hint < hint || m.HintTerm < term) {
 		p.probe(hint)
 	}
 }
 
-// advanceCommit commits what a majority holds, if it is of the own term (section
-// 5.4.2 of the paper).
+// advanceCommit commits the entries that a majority of the voters has stored, if the
+// last of them is of the current term (section 5.4.2 of the paper).
 func (n *Node) advanceCommit() {
-	var held []uint64
+	var stored []uint64
 
-	for _, member := range n.members.current() {
+	for _, member := range n.memberships.current() {
 		switch {
 		case member.Learner:
 		case member.ID == n.config.Replica:
-			held = append(held, n.log.stable)
+			stored = append(stored, n.log.stable)
 		default:
-			held = append(held, n.progress[member.ID].match)
+			stored = append(stored, n.progress[member.ID].match)
 		}
 	}
 
-	slices.Sort(held)
+	slices.Sort(stored)
 
-	index := held[(len(held)-1)/2]
+	index := stored[(len(stored)-1)/2]
 	if index <= n.log.commit || !n.log.matches(index, n.term) {
 		return
 	}
 
 	n.log.commitTo(index)
 
-	// A leader that was removed leads until its removal is committed.
-	if _, member := find(n.members.at(n.log.commit), n.config.Replica); !member {
-		n.heartbeat()
-		n.flush()
+	// A leader that removes itself steps down once its removal is committed, after it
+	// has sent the new commit index.
+	if _, isMember := findMember(n.memberships.at(n.log.commit), n.config.Replica); !isMember {
+		n.sendHeartbeats()
+		n.replicateToAll()
 		n.becomeFollower(n.term, 0)
 	}
 }
 
-// committedOwnTerm reports whether the leader knows everything that is committed.
-func (n *Node) committedOwnTerm() bool { return n.log.matches(n.log.commit, n.term) }
+// hasCommittedOwnTerm reports whether an entry of the current term is committed. Only then
+// does the leader know all committed entries.
+func (n *Node) hasCommittedOwnTerm() bool { return n.log.matches(n.log.commit, n.term) }
 
-// heartbeat starts a round. Its answers confirm reads up to the round.
-func (n *Node) heartbeat() {
+// sendHeartbeats starts a heartbeat round. Replies of a quorum confirm that this replica
+// still leads, and with that the reads up to the round.
+func (n *Node) sendHeartbeats() {
 	n.round++
-	n.roundDue = false
+	n.needsHeartbeat = false
 	n.heartbeatDue = n.now.Add(n.config.HeartbeatInterval)
 
-	for _, member := range n.members.current() {
+	for _, member := range n.memberships.current() {
 		if p := n.progress[member.ID]; p != nil {
 			n.send(Message{
 				Kind: MessageHeartbeat, To: member.ID, Commit: min(p.match, n.log.commit), Round: n.round,
@@ -225,26 +228,26 @@
 }
 
 func (n *Node) handleHeartbeat(m *Message) {
-	n.commitFollower(min(m.Commit, n.log.last()))
+	n.advanceFollowerCommit(min(m.Commit, n.log.last()))
 	n.send(Message{Kind: MessageHeartbeatReply, To: m.From, Round: m.Round})
 }
 
-// handleHeartbeatReply also finds messages that were lost: entries that are
-// unanswered over a whole heartbeat are sent again.
+// handleHeartbeatReply records the answered round and detects lost messages: if no entry
+// was acknowledged for a whole heartbeat interval, unacknowledged ones are sent again.
 func (n *Node) handleHeartbeatReply(m *Message, p *progress) {
-	p.round = max(p.round, m.Round)
+	p.answeredRound = max(p.answeredRound, m.Round)
 
-	// Reads cause extra rounds; resending at each would multiply the traffic.
-	if n.now.Before(p.beat.Add(n.config.HeartbeatInterval)) {
+	// Reads start additional rounds; resending in each of them would multiply the traffic.
+	if n.now.Before(p.lastLossCheck.Add(n.config.HeartbeatInterval)) {
 		return
 	}
 
-	p.beat = n.now
-	p.paused = false
+	p.lastLossCheck = n.now
+	p.awaitingReply = false
 
-	if len(p.inflight) > 0 && p.match == p.beatMatch {
+	if len(p.inflight) > 0 && p.match == p.lossCheckMatch {
 		p.probe(p.match + 1)
 	}
 
-	p.beatMatch = p.match
+	p.lossCheckMatch = p.match
 }
--- a/internal/coordination/raft/rules_test.go
+++ b/internal/coordination/raft/rules_test.go
@@ -11,17 +11,17 @@
 	"jayspindle/internal/state/wal"
 )
 
-// scripted is replica 1 of 3 whose peers are played by the test.
-type scripted struct {
+// testReplica is replica 1 of 3. The test sends the messages of the other two.
+type testReplica struct {
 	*is.I
 	node *raft.Node
 	now  time.Time
 }
 
-func newScripted(t *testing.T, stored raft.Stored) *scripted {
+func newTestReplica(t *testing.T, stored raft.Stored) *testReplica {
 	members := []raft.Member{{ID: 1}, {ID: 2}, {ID: 3}}
 	stored.Snapshot = raft.Bootstrap(members, nil)
-	s := &scripted{I: is.New(t), now: time.Unix(0, 0)}
+	s := &testReplica{I: is.New(t), now: time.Unix(0, 0)}
 
 	var err error
 
@@ -34,8 +34,9 @@
 	return s
 }
 
-// drain does what is ready and returns the messages and the last hard state.
-func (s *scripted) drain() (messages []raft.Message, hardState raft.HardState) {
+// processReady advances the node until nothing is ready and returns the messages and the
+// last hard state.
+func (s *testReplica) processReady() (messages []raft.Message, hardState raft.HardState) {
 	for ready, ok := s.node.Ready(); ok; ready, ok = s.node.Ready() {
 		messages = append(messages, ready.Messages...)
 
@@ -49,24 +50,24 @@
 	return messages, hardState
 }
 
-// receive delivers a message of a peer and returns the answers.
-func (s *scripted) receive(m raft.Message) ([]raft.Message, raft.HardState) {
+// receive delivers a message and returns the replies and the last hard state.
+func (s *testReplica) receive(m raft.Message) ([]raft.Message, raft.HardState) {
 	m.Cluster, m.Generation, m.To = cluster, generation, 1
 	s.NoErr(s.node.Receive(m))
 
-	return s.drain()
+	return s.processReady()
 }
 
-func (s *scripted) tick(duration time.Duration) {
+func (s *testReplica) tick(duration time.Duration) {
 	s.now = s.now.Add(duration)
 	s.node.Tick(s.now)
 }
 
-// lead makes the replica leader of the next term, with replica 2's votes. Its own
-// entry is saved but not committed.
-func (s *scripted) lead() uint64 {
+// becomeLeader makes the replica leader of the next term, with the votes of replica 2, and
+// returns the term. The leader's empty entry is saved but not committed.
+func (s *testReplica) becomeLeader() uint64 {
 	s.tick(2 * electionTimeout)
-	s.drain()
+	s.processReady()
 
 	term := s.node.Status().Term + 1
 	s.receive(raft.Message{Kind: raft.MessagePreVoteReply, From: 2, Term: term})
@@ -76,31 +77,33 @@
 	return term
 }
 
-func (s *scripted) acknowledge(from raft.ReplicaID, index uint64) {
+func (s *testReplica) acknowledge(from raft.ReplicaID, index uint64) {
 	s.receive(raft.Message{
 		Kind: raft.MessageAppendReply, From: from, Term: s.node.Status().Term, LogIndex: index,
 	})
 }
 
-func command(index, term uint64) raft.Entry {
+func commandEntry(index, term uint64) raft.Entry {
 	return raft.Entry{Index: index, Term: term, Kind: wal.EntryCommand, Data: []byte("command")}
 }
 
-func voteOf(from raft.ReplicaID, term, logIndex, logTerm uint64) raft.Message {
+func voteRequest(from raft.ReplicaID, term, logIndex, logTerm uint64) raft.Message {
 	return raft.Message{Kind: raft.MessageVote, From: from, Term: term, LogIndex: logIndex, LogTerm: logTerm}
 }
 
-// Guards against a second vote in a term, also after a restart, and against a
-// leader that lacks committed entries.
+// Guards against a second vote in the same term, also after a restart, and against
+// electing a leader that lacks committed entries.
 func TestVotes(t *testing.T) {
-	stored := raft.Stored{HardState: raft.HardState{Term: 3}, Entries: []raft.Entry{command(2, 2), command(3, 3)}}
+	stored := raft.Stored{
+		HardState: raft.HardState{Term: 3}, Entries: []raft.Entry{commandEntry(2, 2), commandEntry(3, 3)},
+	}
 
 	for name, candidate := range map[string]raft.Message{
-		"shorter log": voteOf(2, 4, 2, 3),
-		"older term":  voteOf(2, 4, 9, 2),
+		"shorter log": voteRequest(2, 4, 2, 3),
+		"older term":  voteRequest(2, 4, 9, 2),
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScripted(t, stored)
+			s := newTestReplica(t, stored)
 			answers, _ := s.receive(candidate)
 			s.True(answers[0].Reject)
 
@@ -112,37 +115,40 @@
 	}
 
 	t.Run("twice", func(t *testing.T) {
-		s := newScripted(t, stored)
-		answers, hardState := s.receive(voteOf(2, 4, 3, 3))
+		s := newTestReplica(t, stored)
+		answers, hardState := s.receive(voteRequest(2, 4, 3, 3))
 		s.True(!answers[0].Reject)
-		s.Equal(hardState.Vote, raft.ReplicaID(2)) // saved before the answer leaves
+		s.Equal(hardState.Vote, raft.ReplicaID(2)) // saved before the reply is sent
 		s.Equal(hardState.Term, uint64(4))
 
 		stored.HardState = hardState
-		answers, _ = newScripted(t, stored).receive(voteOf(3, 4, 3, 3))
+		answers, _ = newTestReplica(t, stored).receive(voteRequest(3, 4, 3, 3))
 		s.True(answers[0].Reject)
 	})
 }
 
-// Guards against a removed or isolated replica that disrupts a healthy leader.
+// Guards against a removed or isolated replica that disrupts a healthy leader by
+// starting elections.
 func TestVotesAreRefusedWhileALeaderIsHeard(t *testing.T) {
-	s := newScripted(t, raft.Stored{})
+	s := newTestReplica(t, raft.Stored{})
 	s.receive(raft.Message{Kind: raft.MessageHeartbeat, From: 2, Term: 1, Round: 1})
 
-	answers, _ := s.receive(voteOf(3, 5, 1, 1))
+	answers, _ := s.receive(voteRequest(3, 5, 1, 1))
 	s.Equal(len(answers), 0)
 	s.Equal(s.node.Status().Term, uint64(1))
 
 	s.tick(electionTimeout)
-	answers, _ = s.receive(voteOf(3, 5, 1, 1))
+	answers, _ = s.receive(voteRequest(3, 5, 1, 1))
 	s.True(!answers[0].Reject)
 }
 
-// Guards against figure 8 of the paper: an entry of an earlier term that a
-// majority holds can still be overwritten. No membership change may start then.
+// Guards against the fault of figure 8 of the paper: an entry of an earlier term that
+// is stored on a majority can still be overwritten, so it must not be committed by
+// counting replicas. No membership change may start before an entry of the current
+// term is committed.
 func TestOnlyTheOwnTermCommits(t *testing.T) {
-	s := newScripted(t, raft.Stored{HardState: raft.HardState{Term: 2}, Entries: []raft.Entry{command(2, 2)}})
-	s.lead()
+	s := newTestReplica(t, raft.Stored{HardState: raft.HardState{Term: 2}, Entries: []raft.Entry{commandEntry(2, 2)}})
+	s.becomeLeader()
 	s.acknowledge(2, 2)
 	s.Equal(s.node.Status().Commit, uint64(1))
 
@@ -153,11 +159,11 @@
 	s.Equal(s.node.Status().Commit, uint64(3))
 }
 
-// Guards against a leader that counts its own copy before it is on disk, and
-// against compaction of entries that are not on disk yet.
+// Guards against a leader that counts its own copy of an entry before it is on disk,
+// and against compacting entries that are not on disk yet.
 func TestOwnEntriesCountOnceSaved(t *testing.T) {
-	s := newScripted(t, raft.Stored{})
-	term := s.lead()
+	s := newTestReplica(t, raft.Stored{})
+	term := s.becomeLeader()
 	s.acknowledge(2, 2)
 
 	index, _, err := s.node.Propose([]byte("command"))
@@ -166,8 +172,8 @@
 	ready, ok := s.node.Ready()
 	s.True(ok)
 
-	_, again := s.node.Ready()
-	s.True(!again) // nothing leaves before the first Ready is saved
+	_, secondOK := s.node.Ready()
+	s.True(!secondOK) // no second Ready before the first one is saved
 
 	reply := raft.Message{Kind: raft.MessageAppendReply, From: 2, Term: term, LogIndex: index}
 	reply.Cluster, reply.Generation, reply.To = cluster, generation, 1
@@ -185,7 +191,7 @@
 
 	reply.From = 3
 	s.NoErr(s.node.Receive(reply))
-	s.Equal(s.node.Status().Commit, index) // held by the two others
+	s.Equal(s.node.Status().Commit, index) // stored by the other two replicas
 
 	ready, ok = s.node.Ready()
 	s.True(ok)
@@ -198,12 +204,12 @@
 	s.NoErr(err)
 }
 
-// Guards against a membership that stays in force although its entry was
-// overwritten by another leader.
+// Guards against a membership that stays effective after another leader has
+// overwritten its entry.
 func TestMembershipIsRolledBack(t *testing.T) {
-	s := newScripted(t, raft.Stored{})
-	other := newScripted(t, raft.Stored{})
-	other.lead()
+	s := newTestReplica(t, raft.Stored{})
+	other := newTestReplica(t, raft.Stored{})
+	other.becomeLeader()
 	other.acknowledge(2, 2)
 
 	index, term, err := other.node.ChangeMembership(raft.Change{
@@ -216,28 +222,28 @@
 
 	message := raft.Message{
 		Kind: raft.MessageAppend, From: 2, Term: term, LogIndex: 1, LogTerm: 1,
-		Entries: []raft.Entry{command(2, term), change},
+		Entries: []raft.Entry{commandEntry(2, term), change},
 	}
 	s.receive(message)
 	s.Equal(len(s.node.Status().Members), 4)
 
 	message.From, message.Term = 3, term+1
 	message.LogIndex, message.LogTerm = 2, term
-	message.Entries = []raft.Entry{command(index, term+1)}
+	message.Entries = []raft.Entry{commandEntry(index, term+1)}
 	s.receive(message)
 	s.Equal(len(s.node.Status().Members), 3)
 }
 
 // Guards against a change that leaves no responsive quorum, and against a leader
-// that goes on after its own removal is committed.
+// that continues to lead after its own removal is committed.
 func TestRemoval(t *testing.T) {
-	s := newScripted(t, raft.Stored{})
-	s.lead()
+	s := newTestReplica(t, raft.Stored{})
+	s.becomeLeader()
 	s.acknowledge(2, 2)
 
 	s.tick(electionTimeout * 3 / 4)
 	s.acknowledge(2, 2)
-	s.tick(electionTimeout * 3 / 4) // replica 3 is silent
+	s.tick(electionTimeout * 3 / 4) // replica 3 is unresponsive
 
 	remove := func(id raft.ReplicaID) error {
 		_, _, err := s.node.ChangeMembership(raft.Change{Kind: raft.ChangeRemove, Member: raft.Member{ID: id}})
@@ -249,7 +255,7 @@
 
 	s.acknowledge(3, 2)
 	s.NoErr(remove(1))
-	s.drain()
+	s.processReady()
 	s.acknowledge(2, 3)
 	s.Equal(s.node.Status().Role, raft.Leader) // the leader's own copy doesn't count
 	s.acknowledge(3, 3)
@@ -259,19 +265,20 @@
 	s.Equal(s.node.Status().Role, raft.Follower)
 }
 
-// Guards against a group that can't reach a replica with a higher term.
+// Guards against a leader that never learns of a replica with a higher term, and so
+// can't replicate to it.
 func TestStaleLeaderIsTold(t *testing.T) {
-	s := newScripted(t, raft.Stored{HardState: raft.HardState{Term: 5}})
+	s := newTestReplica(t, raft.Stored{HardState: raft.HardState{Term: 5}})
 	answers, _ := s.receive(raft.Message{Kind: raft.MessageHeartbeat, From: 2, Term: 4})
 	s.Equal(len(answers), 1)
 	s.Equal(answers[0].Term, uint64(5))
 }
 
-// Guards against memory and log that grow without bound while nothing is
-// committed or the application takes no snapshot.
+// Guards against unlimited growth of memory and log while no entry is committed or
+// the application takes no snapshot.
 func TestBounds(t *testing.T) {
-	s := newScripted(t, raft.Stored{})
-	s.lead()
+	s := newTestReplica(t, raft.Stored{})
+	s.becomeLeader()
 
 	propose := func(size int) raft.Kind {
 		_, _, err := s.node.Propose(make([]byte, size))
@@ -282,11 +289,11 @@
 	s.Equal(propose(3<<20), raft.KindTooLarge)
 	s.Equal(propose(900), raft.Kind(""))
 	s.Equal(propose(900), raft.KindBusy)
-	s.drain()
+	s.processReady()
 
 	for s.acknowledge(2, 3); s.node.Status().Last < 21; s.acknowledge(2, s.node.Status().Last) {
 		s.Equal(propose(900), raft.Kind(""))
-		s.drain()
+		s.processReady()
 	}
 
 	s.Equal(propose(1), raft.KindBusy)
--- a/internal/coordination/raft/snapshot.go
+++ b/internal/coordination/raft/snapshot.go
@@ -2,19 +2,19 @@
 
 import "jayspindle/internal/state/wal"
 
-// maxStateBytes bounds the application's state in a snapshot. The rest of the
-// largest snapshot is left for the membership.
-const maxStateBytes = wal.MaxSnapshotBytes - MaxMembers*(maxAddressBytes+entryOverhead) - 1<<10
+// maxStateBytes limits the application's state in a snapshot. It leaves room for the
+// membership within wal.MaxSnapshotBytes.
+const maxStateBytes = wal.MaxSnapshotBytes - MaxMembers*(maxAddressBytes+entryOverheadBytes) - 1<<10
 
-// incomingSnapshot collects chunks.
+// incomingSnapshot is a snapshot whose chunks are being received.
 type incomingSnapshot struct {
-	term     uint64 // of the leader that sends it
+	term     uint64 // term of the sending leader
 	snapshot Snapshot
 }
 
-// Compact takes the application's state after applying the entry at index and
-// drops the log before it, but for the last KeepEntries entries. The owner saves
-// the returned snapshot and then compacts its write-ahead log. The error kinds are
+// Compact creates a snapshot from the application's state after the entry at index and
+// removes the log up to it, except the last KeepEntries entries. The owner saves the
+// returned snapshot and then compacts its write-ahead log. The error kinds are
 // KindInvalid for an index that is not applied yet or already compacted, and
 // KindTooLarge.
 func (n *Node) Compact(index uint64, data []byte) (*Snapshot, error) {
@@ -22,8 +22,8 @@
 		return nil, newError("compact", KindTooLarge, "state of %d bytes exceeds %d", len(data), maxStateBytes)
 	}
 
-	// Entries that are not on the own disk yet must still reach it.
-	applied := min(n.log.handed, n.log.stable)
+	// Entries that are not on the local disk yet must stay in the log until they are saved.
+	applied := min(n.log.delivered, n.log.stable)
 
 	if index > applied || index <= n.log.snapshot.Index {
 		return nil, newError("compact", KindInvalid, "index %d is outside of %d to %d",
@@ -35,14 +35,15 @@
 		return nil, newError("compact", KindInvalid, "entry %d is not in the log", index)
 	}
 
-	snapshot := &Snapshot{Index: index, Term: term, Members: n.members.at(index), Data: data}
+	snapshot := &Snapshot{Index: index, Term: term, Members: n.memberships.at(index), Data: data}
 	n.log.compact(snapshot, n.config.KeepEntries)
-	n.members = n.members.compact(index)
+	n.memberships = n.memberships.compact(index)
 
 	return snapshot, nil
 }
 
-// sendChunk sends the next part of the newest snapshot, one at a time.
+// sendChunk sends the next chunk of the snapshot in transfer, or starts to transfer the
+// newest one. Only one chunk is outstanding at a time.
 func (n *Node) sendChunk(to ReplicaID, p *progress) {
 	if p.snapshot == nil {
 		snapshot := n.log.snapshot
@@ -53,7 +54,7 @@
 
 	data := p.snapshot.Data
 	end := min(p.offset+uint64(n.config.ChunkBytes), uint64(len(data)))
-	p.paused = true
+	p.awaitingReply = true
 
 	n.send(Message{
 		Kind: MessageSnapshot, To: to,
@@ -69,24 +70,24 @@
 
 	if c.Index <= n.log.commit || n.log.matches(c.Index, c.Term) {
 		n.incoming = nil
-		n.commitFollower(c.Index)
+		n.advanceFollowerCommit(c.Index)
 		n.send(Message{Kind: MessageAppendReply, To: m.From, LogIndex: c.Index})
 
 		return
 	}
 
-	in := n.incoming
-	if in == nil || in.term != m.Term || in.snapshot.Index != c.Index || in.snapshot.Term != c.Term {
-		in = &incomingSnapshot{
+	partial := n.incoming
+	if partial == nil || partial.term != m.Term || partial.snapshot.Index != c.Index || partial.snapshot.Term != c.Term {
+		partial = &incomingSnapshot{
 			term:     m.Term,
 			snapshot: Snapshot{Index: c.Index, Term: c.Term, Members: c.Members},
 		}
-		n.incoming = in
+		n.incoming = partial
 	}
 
-	received := uint64(len(in.snapshot.Data))
+	received := uint64(len(partial.snapshot.Data))
 	if c.Offset == received {
-		in.snapshot.Data = append(in.snapshot.Data, c.Data...)
+		partial.snapshot.Data = append(partial.snapshot.Data, c.Data...)
 		received += uint64(len(c.Data))
 	}
 
@@ -96,16 +97,17 @@
 		return
 	}
 
-	n.installSnapshot(&in.snapshot)
+	n.installSnapshot(&partial.snapshot)
 	n.send(Message{Kind: MessageAppendReply, To: m.From, LogIndex: c.Index})
 }
 
-// installSnapshot replaces the log and the application's state.
+// installSnapshot replaces the log and the membership; the next Ready hands the snapshot
+// to the application.
 func (n *Node) installSnapshot(snapshot *Snapshot) {
 	n.incoming = nil
 	n.log.restore(snapshot)
-	n.members = membership{{index: snapshot.Index, members: snapshot.Members}}
-	n.install = snapshot
+	n.memberships = membershipHistory{{index: snapshot.Index, members: snapshot.Members}}
+	n.installedSnapshot = snapshot
 }
 
 func (n *Node) handleChunkReply(m *Message, p *progress) {
@@ -114,5 +116,5 @@
 	}
 
 	p.offset = m.Offset
-	p.paused = false
+	p.awaitingReply = false
 }
--- a/internal/coordination/raft/status.go
+++ b/internal/coordination/raft/status.go
@@ -1,6 +1,6 @@
 package raft
 
-// Status describes a replica to operators.
+// Status is the state of a replica for operators.
 type Status struct {
 	Replica       ReplicaID
 	Cluster       ClusterID
@@ -8,19 +8,19 @@
 	Role          Role
 	Leader        ReplicaID // 0 if unknown
 	Term          uint64
-	First         uint64 // first entry still in the log
+	First         uint64 // first entry that is not compacted
 	Last          uint64
 	Commit        uint64
 	Applied       uint64
 	SnapshotIndex uint64
 	Dropped       uint64 // foreign and malformed messages
 	Transfer      ReplicaID
-	Ready         bool // leader with a committed entry of its term
+	Ready         bool // this replica leads and has committed an entry of its term
 	Members       []MemberStatus
 }
 
-// MemberStatus describes a member; Match, Responsive and Snapshot are known to
-// the leader only.
+// MemberStatus is the state of a member. Other members' Match, Responsive and Snapshot are
+// known to the leader only.
 type MemberStatus struct {
 	Member
 	Match      uint64
@@ -33,11 +33,11 @@
 	s := Status{
 		Replica: n.config.Replica, Cluster: n.config.Cluster, Generation: n.config.Generation,
 		Role: n.role, Leader: n.leader, Term: n.term, First: n.log.base + 1, Last: n.log.last(),
-		Commit: n.log.commit, Applied: n.log.handed, SnapshotIndex: n.log.snapshot.Index,
-		Dropped: n.dropped, Transfer: n.transfer, Ready: n.role == Leader && n.committedOwnTerm(),
+		Commit: n.log.commit, Applied: n.log.delivered, SnapshotIndex: n.log.snapshot.Index,
+		Dropped: n.droppedMessages, Transfer: n.transferTarget, Ready: n.role == Leader && n.hasCommittedOwnTerm(),
 	}
 
-	for _, member := range n.members.current() {
+	for _, member := range n.memberships.current() {
 		status := MemberStatus{Member: member}
 
 		if p := n.progress[member.ID]; p != nil {
--- a/internal/coordination/raft/workload_test.go
+++ b/internal/coordination/raft/workload_test.go
@@ -6,7 +6,7 @@
 	"jayspindle/internal/coordination/raft"
 )
 
-// propose offers a new number to a host.
+// propose proposes a new command number at a host and reports whether it was accepted.
 func (n *network) propose(h *host) bool {
 	if h.node == nil || h.frozen {
 		return false
@@ -27,12 +27,12 @@
 		return
 	}
 
-	n.reads++
-	n.floors[n.reads] = n.highest
-	_ = h.node.ReadIndex(n.reads) // other replicas refuse
+	n.lastReadID++
+	n.minReadIndexes[n.lastReadID] = n.highestApplied
+	_ = h.node.ReadIndex(n.lastReadID) // fails on hosts that don't lead
 }
 
-// leader returns the running leader of the highest term, or nil.
+// leader returns the leader with the highest term among the running hosts, or nil.
 func (n *network) leader() *host {
 	var best *host
 
@@ -50,8 +50,8 @@
 	return best
 }
 
-// until lets time pass until the condition holds.
-func (n *network) until(what string, condition func() bool) {
+// waitUntil advances the simulation until the condition holds, for at most 4000 ticks.
+func (n *network) waitUntil(what string, condition func() bool) {
 	n.t.Helper()
 
 	for range 4000 {
@@ -59,37 +59,38 @@
 			return
 		}
 
-		n.run(step)
+		n.advance(tickInterval)
 	}
 
-	n.t.Fatalf("not within %v: %s", 4000*step, what)
+	n.t.Fatalf("not within %v: %s", 4000*tickInterval, what)
 }
 
-// commit proposes numbers and waits until they are applied by a leader.
-func (n *network) commit(count int) {
+// commitCommands proposes commands and waits until a leader has applied its whole log.
+func (n *network) commitCommands(count int) {
 	n.t.Helper()
 
 	for range count {
-		n.until("a proposal is accepted", func() bool {
+		n.waitUntil("a proposal is accepted", func() bool {
 			h := n.leader()
 
 			return h != nil && n.propose(h)
 		})
 	}
 
-	target := n.highest + 1
-	n.until("new entries are applied", func() bool {
+	target := n.highestApplied + 1
+	n.waitUntil("new entries are applied", func() bool {
 		h := n.leader()
 
 		return h != nil && h.node.Status().Ready && h.applied == h.node.Status().Last && h.applied >= target
 	})
 }
 
-// converge heals everything and waits until all members have the same state.
+// converge removes all faults, restarts stopped hosts and waits until all members have the
+// same state. It checks that each committed command was proposed and applied once.
 func (n *network) converge() {
 	n.t.Helper()
 
-	n.cut, n.loss, n.crash = map[link]bool{}, 0, false
+	n.cutLinks, n.lossPercent, n.crashEnabled = map[link]bool{}, 0, false
 
 	for _, id := range n.order {
 		h := n.hosts[id]
@@ -100,8 +101,8 @@
 		}
 	}
 
-	n.commit(3)
-	n.until("all members apply the same entries", func() bool {
+	n.commitCommands(3)
+	n.waitUntil("all members apply the same entries", func() bool {
 		h := n.leader()
 		if h == nil {
 			return false
@@ -109,7 +110,7 @@
 
 		for _, member := range h.node.Status().Members {
 			other := n.hosts[member.ID]
-			if other.disk != nil && (other.applied != h.applied || other.state != h.state) {
+			if other.disk != nil && (other.applied != h.applied || other.stateHash != h.stateHash) {
 				return false
 			}
 		}
@@ -117,7 +118,7 @@
 		return true
 	})
 
-	for number, count := range n.committed {
+	for number, count := range n.applyCounts {
 		n.expect(count == 1 && n.proposed[number], "number %d was applied %d times", number, count)
 	}
 }
