--- a/internal/coordination/routing/index.go
+++ b/internal/coordination/routing/index.go
@@ -7,8 +7,8 @@
 	"jayspindle/internal/state/view"
 )
 
-// entry is an agent in 24 bytes, so that a look-up at 26,000 agents usually
-// costs one cache miss. Going through the maps of the view cost several.
+// entry holds an agent in 24 bytes, so that a lookup among 26,000 agents usually
+// costs one cache miss. A lookup through the maps of the view cost several.
 type entry struct {
 	incarnation view.Incarnation // 0 for a free entry
 	service     view.ServiceID
@@ -22,29 +22,31 @@
 	shift   int
 }
 
-// multiplier is 2^32 divided by the golden ratio (Knuth, "The Art of Computer
-// Programming", volume 3, section 6.4), which spreads consecutive numbers.
-const multiplier = 0x9e3779b1
+// hashMultiplier is 2^32 divided by the golden ratio (Knuth, "The Art of Computer
+// Programming", volume 3, section 6.4). It spreads consecutive incarnations over
+// the table.
+const hashMultiplier = 0x9e3779b1
 
 // newIndex returns an index that is at most two thirds full.
 func newIndex(agents []view.Agent) index {
 	width := max(4, bits.Len(uint(len(agents)+len(agents)/2)))
-	made := index{entries: make([]entry, 1<<width), shift: 32 - width}
+	result := index{entries: make([]entry, 1<<width), shift: 32 - width}
 
 	for i := range agents {
 		agent := &agents[i]
 
-		place := made.place(agent.Incarnation)
-		for made.entries[place].incarnation != 0 {
-			place = (place + 1) % len(made.entries)
+		slot := result.slotOf(agent.Incarnation)
+		for result.entries[slot].incarnation != 0 {
+			slot = (slot + 1) % len(result.entries)
 		}
 
-		made.entries[place] = entry{agent.Incarnation, agent.Service, agent.Data.Port(), as16(agent.Data.Addr())}
+		result.entries[slot] = entry{agent.Incarnation, agent.Service, agent.Data.Port(), as16(agent.Data.Addr())}
 	}
 
-	return made
+	return result
 }
 
+// as16 returns the 16-byte form of an address, or zeros for an invalid address.
 func as16(address netip.Addr) [16]byte {
 	if !address.IsValid() {
 		return [16]byte{}
@@ -53,8 +55,9 @@
 	return address.As16()
 }
 
-func (x *index) place(incarnation view.Incarnation) int {
-	return int(uint32(incarnation) * multiplier >> x.shift)
+// slotOf returns the slot at which the search for an incarnation starts.
+func (x *index) slotOf(incarnation view.Incarnation) int {
+	return int(uint32(incarnation) * hashMultiplier >> x.shift)
 }
 
 // find returns the entry of an agent, or nil.
@@ -65,8 +68,8 @@
 
 	mask := len(x.entries) - 1
 
-	for place := x.place(incarnation) & mask; ; place = (place + 1) & mask {
-		found := &x.entries[place]
+	for slot := x.slotOf(incarnation) & mask; ; slot = (slot + 1) & mask {
+		found := &x.entries[slot]
 
 		switch found.incarnation {
 		case incarnation:
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -9,8 +9,8 @@
 //	published.Store(next)
 //
 // A table never changes, so readers need no lock and are never blocked by a
-// rebuild. Flows that are established do not use it: their connection IDs name
-// their agent.
+// rebuild. Established flows do not use it: their connection IDs identify their
+// agent.
 package routing
 
 import (
@@ -75,13 +75,14 @@
 	return table
 }
 
-// bucketCount returns a power of two, also for a view that states none.
-func bucketCount(stated uint16) int {
-	if stated == 0 || stated&(stated-1) != 0 || stated > maxBuckets {
+// bucketCount returns the number of buckets of a service, which is a power of
+// two, and the default if the configured number is invalid.
+func bucketCount(configured uint16) int {
+	if configured == 0 || configured&(configured-1) != 0 || configured > maxBuckets {
 		return defaultBuckets
 	}
 
-	return int(stated)
+	return int(configured)
 }
 
 func (t *Table) bucketsOf(service view.ServiceID) *buckets {
@@ -95,7 +96,7 @@
 // View returns the view of the table.
 func (t *Table) View() *view.View { return t.view }
 
-// Rebuilt returns the number of services that had to be computed.
+// Rebuilt returns the number of services whose buckets had to be computed.
 func (t *Table) Rebuilt() int { return t.rebuilt }
 
 // Owner returns the agent of a new flow. It reports false if the service is
@@ -115,7 +116,7 @@
 }
 
 // Ranked returns the agent of a new flow when the agents of all lower ranks
-// are passed over. Rank 0 is the owner. It computes the rank from the scores,
+// are skipped. Rank 0 is the owner. It computes the rank from the scores,
 // in time proportional to rank and number of agents, without allocating.
 func (t *Table) Ranked(service view.ServiceID, hash uint64, rank int) (view.Incarnation, bool) {
 	buckets := t.bucketsOf(service)
@@ -143,7 +144,7 @@
 	seed        uint64 // hash of the incarnation
 }
 
-// eligible returns the agents that get new flows, by rising incarnation.
+// eligible returns the agents that get new flows, in ascending order of incarnation.
 func eligible(agents []view.Agent) []member {
 	members := make([]member, 0, len(agents))
 
@@ -157,7 +158,7 @@
 	return members
 }
 
-// weightOf returns 0 for an agent that gets no new flow.
+// weightOf returns the weight of an agent, or 0 if it gets no new flows.
 func weightOf(agent *view.Agent) uint8 {
 	if agent.State != view.Active {
 		return 0
@@ -179,7 +180,8 @@
 	return &buckets{members: members, owners: assign(members, count), mask: uint64(count - 1)}
 }
 
-// matches reports whether the buckets of these agents would be the same.
+// matches reports whether the given agents and number of buckets would give the
+// same buckets.
 func (b *buckets) matches(agents []view.Agent, count int) bool {
 	if len(b.owners) != count {
 		return false
@@ -204,17 +206,17 @@
 }
 
 // ranked returns the owner of a bucket for rank 0, and for the next ranks the
-// other members by falling score.
+// other members in descending order of score.
 func (b *buckets) ranked(bucket uint64, rank int) view.Incarnation {
 	owner := int(b.owners[bucket])
 	if rank == 0 {
 		return b.members[owner].incarnation
 	}
 
-	bound := aboveAll
+	bound := maxScore
 	for range rank {
 		bound = bestBelow(b.members, owner, bucket, bound)
 	}
 
-	return b.members[bound.place].incarnation
+	return b.members[bound.position].incarnation
 }
--- a/internal/coordination/routing/table_test.go
+++ b/internal/coordination/routing/table_test.go
@@ -15,8 +15,8 @@
 
 const buckets = 1024
 
-// fleet returns a view with services 1 to n and agents dealt out among them.
-func fleet(services, agents int, change func([]view.Agent)) *view.View {
+// newView returns a view with services 1 to n and agents assigned to them in turn.
+func newView(services, agents int, change func([]view.Agent)) *view.View {
 	contents := view.Contents{Agents: make([]view.Agent, agents)}
 	for i := range services {
 		contents.Services = append(contents.Services, view.Service{ID: view.ServiceID(i + 1), Buckets: buckets})
@@ -36,8 +36,8 @@
 	return view.New(contents)
 }
 
-// owners counts the buckets of each agent of service 1.
-func owners(t *testing.T, table *routing.Table) map[view.Incarnation]int {
+// bucketsByOwner counts the buckets of each agent of service 1.
+func bucketsByOwner(t *testing.T, table *routing.Table) map[view.Incarnation]int {
 	t.Helper()
 
 	count := map[view.Incarnation]int{}
@@ -52,9 +52,9 @@
 	return count
 }
 
-// moved counts the buckets of service 1 whose owner differs, other than those
+// movedBuckets counts the buckets of service 1 whose owner differs, except those
 // that the given agent owned or owns.
-func moved(t *testing.T, a, b *routing.Table, changed view.Incarnation) int {
+func movedBuckets(t *testing.T, a, b *routing.Table, changed view.Incarnation) int {
 	t.Helper()
 
 	n := 0
@@ -78,7 +78,7 @@
 		total := 0
 		weights := map[view.Incarnation]int{}
 
-		table := routing.New(fleet(1, 2+random.IntN(20), func(agents []view.Agent) {
+		table := routing.New(newView(1, 2+random.IntN(20), func(agents []view.Agent) {
 			for i := range agents {
 				agents[i].Weight = uint8(1 + random.IntN(view.MaxWeight))
 				weights[agents[i].Incarnation] = int(agents[i].Weight)
@@ -86,17 +86,17 @@
 			}
 		}))
 
-		for incarnation, count := range owners(t, table) {
+		for incarnation, count := range bucketsByOwner(t, table) {
 			is.New(t).True(float64(count) <= 1.05*buckets*float64(weights[incarnation])/float64(total)+1)
 		}
 	})
 }
 
 // Guards against new flows for agents that drain or have weight 0, and against
-// an owner for a service that has none.
+// an owner for a service without eligible agents.
 func TestEligible(t *testing.T) {
-	table := routing.New(fleet(2, 8, func(agents []view.Agent) {
-		agents[0].State = view.Draining // of service 1, like 2, 4 and 6
+	table := routing.New(newView(2, 8, func(agents []view.Agent) {
+		agents[0].State = view.Draining // indexes 0, 2, 4 and 6 belong to service 1
 		agents[2].Weight = 0
 
 		for i := 1; i < len(agents); i += 2 {
@@ -104,7 +104,7 @@
 		}
 	}))
 
-	count := owners(t, table)
+	count := bucketsByOwner(t, table)
 	is.New(t).Equal(len(count), 2)
 	is.New(t).Equal(count[5]+count[7], buckets)
 	is.New(t).Equal(table.Ranks(1), 2)
@@ -119,20 +119,20 @@
 }
 
 // Guards against tables that move most buckets when one agent changes, which
-// would split the Initial flights of many new flows.
+// would split the Initial packets of many new flows between agents.
 func TestDisruption(t *testing.T) {
-	before := routing.New(fleet(1, 10, nil))
-	removed := routing.New(fleet(1, 10, func(agents []view.Agent) { agents[4].Service = 2 }))
-	halved := routing.New(fleet(1, 10, func(agents []view.Agent) { agents[4].Weight = 50 }))
+	before := routing.New(newView(1, 10, nil))
+	removed := routing.New(newView(1, 10, func(agents []view.Agent) { agents[4].Service = 2 }))
+	halved := routing.New(newView(1, 10, func(agents []view.Agent) { agents[4].Weight = 50 }))
 
-	is.New(t).True(moved(t, before, removed, 5) < buckets/20)
-	is.New(t).True(moved(t, before, halved, 5) < buckets/20)
+	is.New(t).True(movedBuckets(t, before, removed, 5) < buckets/20)
+	is.New(t).True(movedBuckets(t, before, halved, 5) < buckets/20)
 }
 
-// Guards against a rank that names an agent twice or none, so that the agent
-// after a refused one is the refused one again.
+// Guards against ranks that return an agent twice or leave one out, so that the
+// agent tried after a refusal is the one that refused.
 func TestRanked(t *testing.T) {
-	table := routing.New(fleet(1, 9, nil))
+	table := routing.New(newView(1, 9, nil))
 
 	for hash := range uint64(buckets) {
 		seen := map[view.Incarnation]bool{}
@@ -157,13 +157,13 @@
 func TestNext(t *testing.T) {
 	soak.Run(t, 20, func(t *testing.T, seed uint64) {
 		random := rand.New(rand.NewPCG(seed, 0))
-		place := random.IntN(40)
-		table := routing.New(fleet(10, 40, nil))
+		position := random.IntN(40)
+		table := routing.New(newView(10, 40, nil))
 
-		changed := fleet(10, 40, func(agents []view.Agent) {
-			agents[place].Weight = uint8(random.IntN(view.MaxWeight))
-			agents[place].Data = netip.AddrPort{} // an address alone moves no bucket
-			agents[(place+1)%40].Data = netip.AddrPort{}
+		changed := newView(10, 40, func(agents []view.Agent) {
+			agents[position].Weight = uint8(random.IntN(view.MaxWeight))
+			agents[position].Data = netip.AddrPort{} // an address alone moves no bucket
+			agents[(position+1)%40].Data = netip.AddrPort{}
 		})
 
 		next, full := table.Next(changed), routing.New(changed)
@@ -183,7 +183,7 @@
 // Guards against an index that misses an agent or returns another one.
 func TestAgent(t *testing.T) {
 	for _, agents := range []int{0, 1, 11, 1000} {
-		current := fleet(3, agents, nil)
+		current := newView(3, agents, nil)
 		table := routing.New(current)
 
 		for incarnation := range view.Incarnation(agents + 100) {
@@ -199,11 +199,11 @@
 
 var sizes = []struct{ services, agents int }{{7, 27}, {419, 1625}, {1675, 6500}, {3350, 13000}, {6700, 26000}}
 
-// BenchmarkBuild reports the full build; the allocated bytes are the memory
-// that the table keeps, but for the work area of one service.
+// BenchmarkBuild measures a full build. The allocated bytes are the memory of the
+// table, plus temporary memory of one service.
 func BenchmarkBuild(b *testing.B) {
 	for _, size := range sizes {
-		current := fleet(size.services, size.agents, nil)
+		current := newView(size.services, size.agents, nil)
 
 		b.Run(fmt.Sprintf("%d-services-%d-agents", size.services, size.agents), func(b *testing.B) {
 			b.ReportAllocs()
@@ -217,8 +217,8 @@
 
 func BenchmarkRebuild(b *testing.B) {
 	for _, size := range sizes {
-		table := routing.New(fleet(size.services, size.agents, nil))
-		next := fleet(size.services, size.agents, func(agents []view.Agent) { agents[5].Weight = 50 })
+		table := routing.New(newView(size.services, size.agents, nil))
+		next := newView(size.services, size.agents, func(agents []view.Agent) { agents[5].Weight = 50 })
 
 		b.Run(fmt.Sprintf("%d-services-%d-agents", size.services, size.agents), func(b *testing.B) {
 			b.ReportAllocs()
@@ -232,7 +232,7 @@
 
 func BenchmarkOwner(b *testing.B) {
 	for _, size := range sizes {
-		table := routing.New(fleet(size.services, size.agents, nil))
+		table := routing.New(newView(size.services, size.agents, nil))
 		random := rand.New(rand.NewPCG(1, 0))
 
 		b.Run(fmt.Sprintf("%d-services-%d-agents", size.services, size.agents), func(b *testing.B) {
@@ -246,10 +246,10 @@
 	}
 }
 
-// BenchmarkAgent is the look-up for a packet of an established flow.
+// BenchmarkAgent measures the lookup for a packet of an established flow.
 func BenchmarkAgent(b *testing.B) {
 	for _, size := range sizes {
-		table := routing.New(fleet(size.services, size.agents, nil))
+		table := routing.New(newView(size.services, size.agents, nil))
 		random := rand.New(rand.NewPCG(1, 0))
 
 		b.Run(fmt.Sprintf("%d-services-%d-agents", size.services, size.agents), func(b *testing.B) {
