--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement selects the agent of a service that runs a request which
-// has not started: the own backend server or that of a sibling.
+// Package placement selects the agent of a service whose backend server runs a
+// request that has not started: the local agent or a sibling.
 //
 // # Usage
 //
@@ -9,30 +9,31 @@
 //	// Place the request; when it has ended:
 //	picker.Observe(now, incarnation, placement.Answered)
 //
-// Every Pick needs one Observe. Pass siblings that were tried before to Pick
-// when a request is retried.
+// Every Pick needs one Observe. When a request is retried, pass the siblings that
+// were tried before to Pick, which excludes them.
 //
 // # Policy
 //
 // Each agent spreads its own requests over all active siblings by stride
 // scheduling (Waldspurger and Weihl, 1995), whatever its connections are. If
 // every agent spreads evenly, the sum is even, however uneven the connections
-// are, and no report from a backend server is needed. Own observation corrects
-// the round robin:
+// are, and no report from a backend server is needed. The agent corrects the round
+// robin by what it observes of its own requests:
 //
 //   - Own requests in flight count against a sibling, so that a slower one gets
-//     less and a hung one only a few.
-//   - A sibling that refused is passed over for a moment.
+//     fewer requests and a hung one only a few.
+//   - A sibling that refused gets no requests for a short time.
 //   - A sibling that fails several times in a row is ejected for a while and
-//     then returns on a ramp. At most a fixed part of the siblings is ejected.
-//   - A sibling that joins starts on a ramp.
+//     then returns with a share that rises gradually. At most a fixed part of the
+//     siblings is ejected at a time.
+//   - The share of a sibling that joins rises gradually too.
 //
 // Shares do not follow measured speed. Moving small shares from the slowest to
 // the fastest sibling until completion times align, as Kaufmann et al. propose
 // for the chunks of Chicle, lowered the 99th percentile with backend servers of
 // half the speed from 556 ms to 473 ms, but noise in the completion times then
 // raised the imbalance of equal backend servers to 1.10. With a tolerance that
-// keeps it below 1.05, the gain was gone.
+// keeps it below 1.05, nothing of the gain remained.
 //
 // A Picker is not safe for concurrent use: one goroutine owns it.
 package placement
@@ -50,49 +51,50 @@
 const (
 	// maxLag bounds, in requests, how far a sibling can fall behind or run ahead
 	// of its share. With 1, siblings of equal speed stay within 1.022 of the
-	// mean, and slower ones can get less; with 4, a sibling of half the speed
-	// still got so many requests that the 99th percentile rose from 0.55 s to
-	// 1.4 s.
+	// mean, and slower ones can get fewer requests; with 4, a sibling of half
+	// the speed still got so many requests that the 99th percentile rose from
+	// 0.55 s to 1.4 s.
 	maxLag = 1
-	// inFlightCost is the number of requests of its share that one own request
-	// in flight counts for. With 0.3 in place of 1, the 99th percentile at 90%
+	// inFlightCost is the number of received requests that one own request in
+	// flight counts as. With 0.3 in place of 1, the 99th percentile at 90%
 	// utilization rose from 0.39 s to 0.47 s.
 	inFlightCost = 1
 )
 
 // Picker is the placement state of one service in one agent.
 type Picker struct {
-	policy   Policy
-	random   *rand.Rand
-	siblings []*sibling
-	known    map[view.Incarnation]*sibling
-	pass     float64 // mean pass of the siblings
+	policy        Policy
+	random        *rand.Rand
+	siblings      []*sibling
+	byIncarnation map[view.Incarnation]*sibling
+	meanPass      float64 // mean pass of the siblings
 }
 
-// New returns a picker without siblings. The seed sets where its round robin
-// starts, so that agents do not start at the same sibling.
+// New returns a picker without siblings. The seed sets the sibling at which its
+// round robin starts, so that agents do not all start at the same one.
 func New(policy Policy, seed uint64) *Picker {
 	return &Picker{
-		policy: policy,
-		random: rand.New(rand.NewPCG(seed, 0)),
-		known:  make(map[view.Incarnation]*sibling),
+		policy:        policy,
+		random:        rand.New(rand.NewPCG(seed, 0)),
+		byIncarnation: make(map[view.Incarnation]*sibling),
 	}
 }
 
 // Update applies the agents of the service from a view. Siblings of the first
-// call count as warm: a new picker cannot tell how long they have been running.
+// call start with their full share: a new picker cannot tell how long they have
+// been running.
 func (p *Picker) Update(now time.Time, agents []view.Agent) {
-	first := len(p.siblings) == 0
-	known := make(map[view.Incarnation]*sibling, len(agents))
+	firstUpdate := len(p.siblings) == 0
+	byIncarnation := make(map[view.Incarnation]*sibling, len(agents))
 	p.siblings = p.siblings[:0]
 
 	for _, agent := range agents {
-		s, ok := p.known[agent.Incarnation]
+		s, ok := p.byIncarnation[agent.Incarnation]
 		if !ok {
 			s = &sibling{incarnation: agent.Incarnation}
 
-			if !first {
-				s.rampsFrom = now
+			if !firstUpdate {
+				s.rampStart = now
 			}
 		}
 
@@ -102,38 +104,38 @@
 		}
 
 		if !ok {
-			s.pass = p.pass + p.random.Float64()
+			s.pass = p.meanPass + p.random.Float64()
 		}
 
-		known[agent.Incarnation] = s
+		byIncarnation[agent.Incarnation] = s
 		p.siblings = append(p.siblings, s)
 	}
 
-	// Requests at a sibling that left still end.
-	for incarnation, s := range p.known {
-		if known[incarnation] == nil && s.inFlight > 0 {
+	// A sibling that left is kept until its requests in flight have ended.
+	for incarnation, s := range p.byIncarnation {
+		if byIncarnation[incarnation] == nil && s.inFlight > 0 {
 			s.weight = 0
-			known[incarnation] = s
+			byIncarnation[incarnation] = s
 		}
 	}
 
-	p.known = known
+	p.byIncarnation = byIncarnation
 	p.readmit(now)
 }
 
-// readmit ends ejections until the upper limit holds again: siblings that
-// served in place of the ejected ones may have left.
+// readmit ends the earliest ejections until no more than the limit remain: active
+// siblings that were not ejected may have left.
 func (p *Picker) readmit(now time.Time) {
 	for p.Ejected(now) > p.maxEjected() {
-		var first *sibling
+		var earliest *sibling
 
 		for _, s := range p.siblings {
-			if s.weight > 0 && s.ejected(now) && (first == nil || s.ejectedUntil.Before(first.ejectedUntil)) {
-				first = s
+			if s.weight > 0 && s.ejected(now) && (earliest == nil || s.ejectedUntil.Before(earliest.ejectedUntil)) {
+				earliest = s
 			}
 		}
 
-		first.ejectedUntil = now
+		earliest.ejectedUntil = now
 	}
 }
 
@@ -142,7 +144,8 @@
 func (p *Picker) Pick(now time.Time, excluded ...view.Incarnation) (view.Incarnation, bool) {
 	picked := p.pick(now, excluded, false)
 	if picked == nil {
-		// Every sibling has refused: spread the pressure evenly.
+		// Every candidate is paused after a refusal: ignore the pauses, so that the
+		// load stays evenly distributed.
 		picked = p.pick(now, excluded, true)
 	}
 
@@ -155,8 +158,8 @@
 	return picked.incarnation, true
 }
 
-// pick takes the sibling with the lowest pass, with own requests in flight
-// counted on top. Paused siblings take part only if the caller says so.
+// pick selects the sibling with the lowest sum of its pass and the cost of its
+// requests in flight. Paused siblings are candidates only if paused is true.
 func (p *Picker) pick(now time.Time, excluded []view.Incarnation, paused bool) *sibling {
 	var (
 		picked *sibling
@@ -176,7 +179,7 @@
 		share := s.share(now, p.policy.RampUp)
 		total += share
 
-		s.pass = min(max(s.pass, p.pass-maxLag/share), p.pass+maxLag/share)
+		s.pass = min(max(s.pass, p.meanPass-maxLag/share), p.meanPass+maxLag/share)
 
 		if score := s.pass + inFlightCost*float64(s.inFlight)/share; picked == nil || score < best {
 			picked, best = s, score
@@ -185,7 +188,7 @@
 
 	if picked != nil {
 		picked.pass += 1 / picked.share(now, p.policy.RampUp)
-		p.pass += 1 / total
+		p.meanPass += 1 / total
 	}
 
 	return picked
@@ -193,7 +196,7 @@
 
 // Observe records how a request that Pick placed has ended.
 func (p *Picker) Observe(now time.Time, incarnation view.Incarnation, outcome Outcome) {
-	s, ok := p.known[incarnation]
+	s, ok := p.byIncarnation[incarnation]
 	if !ok {
 		return
 	}
@@ -206,7 +209,7 @@
 	case Answered:
 		s.failures = 0
 
-		if s.rampsFrom.IsZero() {
+		if s.rampStart.IsZero() {
 			s.ejections = 0
 		}
 	case Refused:
@@ -214,22 +217,22 @@
 	case Failed:
 		s.failures++
 
-		if s.failures >= p.policy.FailuresToEject || (s.ejections > 0 && !s.rampsFrom.IsZero()) {
+		if s.failures >= p.policy.FailuresToEject || (s.ejections > 0 && !s.rampStart.IsZero()) {
 			p.eject(now, s)
 		}
 	case Cancelled:
 	}
 }
 
-// eject takes a sibling out of the rotation unless too many are out already.
+// eject ejects a sibling unless the limit of ejected siblings is reached.
 func (p *Picker) eject(now time.Time, s *sibling) {
 	if s.weight <= 0 || s.ejected(now) || p.Ejected(now) >= p.maxEjected() {
 		return
 	}
 
-	lasts := p.policy.Ejection << min(s.ejections, 10)
+	duration := p.policy.Ejection << min(s.ejections, 10)
 	s.ejections++
-	s.ejectedUntil = now.Add(min(lasts, p.policy.MaxEjection))
+	s.ejectedUntil = now.Add(min(duration, p.policy.MaxEjection))
 
 	invariant.Assert(p.Ejected(now) <= p.maxEjected(),
 		"placement: ejection has an upper limit", slog.Int("ejected", p.Ejected(now)))
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -46,7 +46,7 @@
 	return placed
 }
 
-func answer(view.Incarnation) placement.Outcome { return placement.Answered }
+func alwaysAnswered(view.Incarnation) placement.Outcome { return placement.Answered }
 
 func failing(from, to view.Incarnation) func(view.Incarnation) placement.Outcome {
 	return func(incarnation view.Incarnation) placement.Outcome {
@@ -58,12 +58,12 @@
 	}
 }
 
-// TestSpread guards against siblings that get more than their share, with as
-// many siblings as the largest service may have.
+// TestSpread guards against siblings that get more than their share, with up to
+// as many siblings as the largest service may have.
 func TestSpread(t *testing.T) {
 	for _, count := range []int{1, 3, 7, 400} {
 		is := is.New(t)
-		placed := spread(newPicker(siblings(count)), start, 50*count, answer)
+		placed := spread(newPicker(siblings(count)), start, 50*count, alwaysAnswered)
 		is.Equal(len(placed), count)
 
 		for _, requests := range placed {
@@ -80,61 +80,61 @@
 	agents[0].State = view.Draining
 	agents[1].Weight = 0
 	picker := newPicker(agents)
-	placed := spread(picker, start, 100, answer)
+	placed := spread(picker, start, 100, alwaysAnswered)
 	is.Equal(placed[1]+placed[2], 0)
 
 	left, ok := picker.Pick(start, 3, 4)
 	is.True(ok)
 	is.Equal(left, view.Incarnation(5))
 	picker.Update(start, agents[:4])
-	picker.Observe(start, left, placement.Answered) // its sibling is gone
+	picker.Observe(start, left, placement.Answered) // the sibling has left
 
 	_, ok = picker.Pick(start, 3, 4)
 	is.True(!ok)
 }
 
-// TestRamp guards against a cold backend server that gets a full share at once
-// and one that never gets it.
+// TestRamp guards against a newly started backend server that gets its full share
+// at once, and against one that never gets it.
 func TestRamp(t *testing.T) {
 	is := is.New(t)
 	picker := newPicker(siblings(4))
-	spread(picker, start, 100, answer)
+	spread(picker, start, 100, alwaysAnswered)
 	picker.Update(start, siblings(5))
 
-	early := spread(picker, start.Add(time.Second), 410, answer)[5]
+	early := spread(picker, start.Add(time.Second), 410, alwaysAnswered)[5]
 	is.True(early >= 5 && early <= 15) // a tenth of a full share
 
-	half := spread(picker, start.Add(5*time.Second), 450, answer)[5]
+	half := spread(picker, start.Add(5*time.Second), 450, alwaysAnswered)[5]
 	is.True(half >= 45 && half <= 55)
 
-	full := spread(picker, start.Add(11*time.Second), 500, answer)[5]
+	full := spread(picker, start.Add(11*time.Second), 500, alwaysAnswered)[5]
 	is.True(full >= 95 && full <= 105)
 }
 
-// TestEjection guards against work that goes on failing, and against an
-// ejected backend server that returns at once with a full share.
+// TestEjection guards against a failing backend server that still gets work, and
+// against one that returns from its ejection with a full share at once.
 func TestEjection(t *testing.T) {
 	is := is.New(t)
 	picker := newPicker(siblings(4))
 	spread(picker, start, 100, failing(1, 1))
 	is.Equal(picker.Ejected(start), 1)
-	is.Equal(spread(picker, start.Add(4*time.Second), 100, answer)[1], 0)
+	is.Equal(spread(picker, start.Add(4*time.Second), 100, alwaysAnswered)[1], 0)
 
-	back := spread(picker, start.Add(5*time.Second), 310, answer)[1]
-	is.True(back >= 5 && back <= 15)
+	ramped := spread(picker, start.Add(5*time.Second), 310, alwaysAnswered)[1]
+	is.True(ramped >= 5 && ramped <= 15)
 }
 
-// TestEjectionAgain guards against a backend server that stays broken and gets
-// a full round of failures after each ejection.
+// TestEjectionAgain guards against a backend server that keeps failing and must
+// fail several times in a row after each ejection before it is ejected again.
 func TestEjectionAgain(t *testing.T) {
 	is := is.New(t)
 	picker := newPicker(siblings(4))
 	spread(picker, start, 100, failing(1, 1))
 
-	back := start.Add(5 * time.Second)
-	is.Equal(spread(picker, back, 100, failing(1, 1))[1], 1)
-	is.Equal(spread(picker, back.Add(9*time.Second), 100, answer)[1], 0) // twice as long
-	is.True(spread(picker, back.Add(10*time.Second), 100, answer)[1] > 0)
+	readmission := start.Add(5 * time.Second)
+	is.Equal(spread(picker, readmission, 100, failing(1, 1))[1], 1)
+	is.Equal(spread(picker, readmission.Add(9*time.Second), 100, alwaysAnswered)[1], 0) // lasts twice as long
+	is.True(spread(picker, readmission.Add(10*time.Second), 100, alwaysAnswered)[1] > 0)
 }
 
 // TestEjectionLimit guards against a service without backend servers when all
@@ -145,7 +145,7 @@
 		picker := newPicker(siblings(count))
 		spread(picker, start, 20*count, failing(1, view.Incarnation(count)))
 		is.Equal(picker.Ejected(start), count/2)
-		is.Equal(len(spread(picker, start, 20*count, answer)), count-count/2)
+		is.Equal(len(spread(picker, start, 20*count, alwaysAnswered)), count-count/2)
 	}
 }
 
@@ -165,8 +165,8 @@
 	is.True(ok)
 }
 
-// TestHung guards against a backend server that answers nothing and collects
-// the requests of its siblings.
+// TestHung guards against a backend server that never answers and goes on
+// receiving requests.
 func TestHung(t *testing.T) {
 	is := is.New(t)
 	picker := newPicker(siblings(4))
@@ -184,22 +184,22 @@
 	is.True(hung > 0 && hung <= 8)
 }
 
-// TestRefusal guards against requests for a sibling that has just refused, and
-// against no request at all when every sibling refuses.
+// TestRefusal guards against requests to a sibling that has just refused, and
+// against placing no request at all when every sibling refuses.
 func TestRefusal(t *testing.T) {
 	is := is.New(t)
 	picker := newPicker(siblings(3))
 	picked, _ := picker.Pick(start)
 	picker.Observe(start, picked, placement.Refused)
-	is.Equal(spread(picker, start, 50, answer)[picked], 0)
-	is.True(spread(picker, start.Add(time.Second), 50, answer)[picked] > 0)
+	is.Equal(spread(picker, start, 50, alwaysAnswered)[picked], 0)
+	is.True(spread(picker, start.Add(time.Second), 50, alwaysAnswered)[picked] > 0)
 
 	refuse := func(view.Incarnation) placement.Outcome { return placement.Refused }
 	is.Equal(len(spread(picker, start, 30, refuse)), 3)
 }
 
-// TestRandom guards against contradictions in the counts of requests in flight
-// while hundreds of siblings join, leave and fail. The picker asserts them.
+// TestRandom guards against wrong counts of requests in flight while hundreds of
+// siblings join, leave and fail. The picker asserts its invariants meanwhile.
 func TestRandom(t *testing.T) {
 	soak.Run(t, 3, func(t *testing.T, seed uint64) {
 		is := is.New(t)
@@ -207,7 +207,7 @@
 		agents := siblings(300)
 		picker := newPicker(agents)
 
-		var flying []view.Incarnation
+		var inFlight []view.Incarnation
 
 		for i := range 5000 {
 			now := start.Add(time.Duration(i) * 10 * time.Millisecond)
@@ -218,14 +218,14 @@
 			}
 
 			picked, ok := picker.Pick(now)
-			is.True(ok) // active siblings are left, whatever fails
-			flying = append(flying, picked)
+			is.True(ok) // never all active siblings are ejected
+			inFlight = append(inFlight, picked)
 
 			if random.IntN(3) > 0 {
-				ended := random.IntN(len(flying))
-				picker.Observe(now, flying[ended], placement.Outcome(1+random.IntN(4)))
-				flying[ended] = flying[len(flying)-1]
-				flying = flying[:len(flying)-1]
+				ended := random.IntN(len(inFlight))
+				picker.Observe(now, inFlight[ended], placement.Outcome(1+random.IntN(4)))
+				inFlight[ended] = inFlight[len(inFlight)-1]
+				inFlight = inFlight[:len(inFlight)-1]
 			}
 		}
 	})
--- a/internal/coordination/placement/sibling.go
+++ b/internal/coordination/placement/sibling.go
@@ -6,43 +6,43 @@
 	"jayspindle/internal/state/view"
 )
 
-// rampFloor is the fraction of its weight that a sibling starts with. It must
-// be above zero, or nothing would ever be learned of the sibling.
-const rampFloor = 0.1
+// minRampFraction is the fraction of its weight that a sibling starts with. It
+// must be above zero, or the sibling would get no request to observe.
+const minRampFraction = 0.1
 
-// sibling is what a picker knows of one agent of the service.
+// sibling is the state that a picker keeps for one agent of the service.
 type sibling struct {
 	incarnation view.Incarnation
-	weight      float64 // from the view, 0 when it must not get new work
+	weight      float64 // from the view; 0 if the sibling must not get new work
 	pass        float64 // requests received per share, as in stride scheduling
 	inFlight    int     // own requests only
 
-	rampsFrom    time.Time // zero when at full weight
-	ejectedUntil time.Time // zero when not ejected
+	rampStart    time.Time // zero at full weight
+	ejectedUntil time.Time // zero if not ejected
 	pausedUntil  time.Time
 	failures     int // in a row
-	ejections    int // without a stable time between them
+	ejections    int // since the last answer at full weight
 }
 
-// share returns the weight with the ramp taken into account. It ends a ramp
+// share returns the weight, reduced while the sibling ramps up. It ends a ramp
 // whose time is over.
 func (s *sibling) share(now time.Time, rampUp time.Duration) float64 {
-	if s.rampsFrom.IsZero() {
+	if s.rampStart.IsZero() {
 		return s.weight
 	}
 
-	risen := now.Sub(s.rampsFrom).Seconds() / rampUp.Seconds()
-	if risen >= 1 {
-		s.rampsFrom = time.Time{}
+	fraction := now.Sub(s.rampStart).Seconds() / rampUp.Seconds()
+	if fraction >= 1 {
+		s.rampStart = time.Time{}
 
 		return s.weight
 	}
 
-	return s.weight * max(risen, rampFloor)
+	return s.weight * max(fraction, minRampFraction)
 }
 
-// ejected reports whether the sibling is ejected. When the time is over, the
-// sibling returns on a ramp.
+// ejected reports whether the sibling is ejected. It ends an ejection whose time
+// is over and starts the ramp.
 func (s *sibling) ejected(now time.Time) bool {
 	if s.ejectedUntil.IsZero() {
 		return false
@@ -52,7 +52,7 @@
 		return true
 	}
 
-	s.rampsFrom = s.ejectedUntil
+	s.rampStart = s.ejectedUntil
 	s.ejectedUntil = time.Time{}
 	s.failures = 0
 
