--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -5,29 +5,28 @@
 //
 //	scheduler := admission.New(admission.PolicyOf(service))
 //	decision := scheduler.Offer(now, request)
-//	// Run: hand over. Wait: a later Next settles it. Refuse: "not run".
+//	// Run: hand over. Wait: a later Next decides. Refuse: answer "not run".
 //	scheduler.Finish(now, id, admission.Completed)
 //	for _, decision := range scheduler.Next(now) {
 //		// ...
 //	}
 //
-// Call Next after Offer, Finish, Cancel and Reconfigure, and when the time of
-// Wake has come. A request is never refused after a Run: cancelling a running
+// Call Next after Offer, Finish, Cancel and Reconfigure, and at the time that
+// Wake returns. A request is never refused after a Run: cancelling a running
 // request yields Abort, and its slot stays taken until Finish.
 //
 // # Policy
 //
-// A slot that a long request has taken cannot be taken back. Three rules
-// follow:
+// A running request cannot be preempted, so a long one keeps its slot. Therefore:
 //
-//   - Classes whose service is long compared with the deadline of a more
+//   - Classes whose service time is long compared with the deadline of the most
 //     urgent class never hold the last slot.
-//   - A class that waits and has received less slot time than its minimum
-//     share goes first. The share is earned and spent in slot time, as in
-//     deficit round robin (Shreedhar and Varghese, 1995).
-//   - All other slots go to the most urgent class that waits.
+//   - A class with waiting requests that has received less slot time than its
+//     minimum share goes first. The share is a credit of slot time, as in deficit
+//     round robin (Shreedhar and Varghese, 1995).
+//   - All other slots go to the most urgent class with waiting requests.
 //
-// Queues are bounded per class, so one class cannot take the room of another.
+// Queues are bounded per class, so one class cannot fill the queue of another.
 //
 // A Scheduler is not safe for concurrent use: one goroutine owns it.
 package admission
@@ -44,14 +43,14 @@
 
 // Scheduler is the admission state of one backend server.
 type Scheduler struct {
-	policy   Policy
-	classes  []*class // most urgent first
-	byName   map[string]*class
-	entries  map[uint64]*entry
-	running  int // slots taken
-	feeds    int // connections taken by feeds
-	draining bool
-	last     time.Time // of the last event
+	policy    Policy
+	classes   []*class // most urgent first
+	byName    map[string]*class
+	entries   map[uint64]*entry
+	running   int // slots taken
+	feeds     int // connections taken by feeds
+	draining  bool
+	lastEvent time.Time // of the last event
 }
 
 // New returns a scheduler without requests.
@@ -62,7 +61,7 @@
 	return s
 }
 
-// configure replaces the policy and keeps what is known of classes by name.
+// configure replaces the policy and keeps the state of classes with the same name.
 func (s *Scheduler) configure(policy Policy) {
 	policy.Slots = max(policy.Slots, 1)
 	policy.QueueLength = max(policy.QueueLength, 1)
@@ -161,7 +160,7 @@
 		return s.startHead(now, c)
 	}
 
-	if now.Add(s.wait(c)).After(c.startBy(e.deadline)) {
+	if now.Add(s.expectedWait(c)).After(c.latestStart(e.deadline)) {
 		c.remove(e)
 
 		return refusal(e.id, ReasonDeadline)
@@ -172,7 +171,8 @@
 	return Decision{ID: e.id, Action: Wait}
 }
 
-// Next starts and refuses queued requests.
+// Next starts the queued requests that have a slot and refuses those that cannot
+// meet their deadline.
 func (s *Scheduler) Next(now time.Time) []Decision {
 	s.advance(now)
 
@@ -192,8 +192,8 @@
 	return decisions
 }
 
-// Wake returns when Next must be called at the latest, and false if nothing
-// waits.
+// Wake returns the latest time at which Next must be called, and false if no
+// request waits.
 func (s *Scheduler) Wake() (time.Time, bool) {
 	var wake time.Time
 
@@ -202,8 +202,8 @@
 			continue
 		}
 
-		if by := c.startBy(c.soonest).Add(time.Nanosecond); wake.IsZero() || by.Before(wake) {
-			wake = by
+		if latest := c.latestStart(c.earliestDeadline).Add(time.Nanosecond); wake.IsZero() || latest.Before(wake) {
+			wake = latest
 		}
 	}
 
@@ -234,15 +234,16 @@
 	invariant.Assert(s.running >= 0, "admission: no more requests end than started")
 
 	if outcome == Completed {
-		e.class.service.observe(now.Sub(e.started))
+		e.class.serviceTime.observe(now.Sub(e.started))
 	} else {
-		e.class.service.observeAtLeast(now.Sub(e.started))
+		e.class.serviceTime.observeAtLeast(now.Sub(e.started))
 	}
 
 	return true
 }
 
-// Cancel gives up a request: Refuse if it waited, Abort if it runs.
+// Cancel cancels a request. It returns Refuse if the request waited and Abort if
+// it runs.
 func (s *Scheduler) Cancel(now time.Time, id uint64) Decision {
 	s.advance(now)
 
@@ -261,8 +262,8 @@
 	return refusal(id, ReasonCancelled)
 }
 
-// Drain stops new work and refuses what waits, so that the shell can place it
-// on a sibling. Running requests and feeds go on.
+// Drain refuses new and waiting requests, so that the agent can place them on a
+// sibling. Running requests and feeds go on.
 func (s *Scheduler) Drain(now time.Time) []Decision {
 	s.advance(now)
 	s.draining = true
@@ -302,21 +303,21 @@
 	return refused
 }
 
-// advance accounts for the time since the last event. A clock that steps back
-// counts as no time.
+// advance updates the credits for the time since the last event. If the clock
+// stepped back, no time has passed.
 func (s *Scheduler) advance(now time.Time) {
-	if elapsed := now.Sub(s.last); elapsed > 0 {
-		if !s.last.IsZero() {
+	if elapsed := now.Sub(s.lastEvent); elapsed > 0 {
+		if !s.lastEvent.IsZero() {
 			for _, c := range s.classes {
 				c.advance(min(elapsed, maxCredit), s.policy.Slots)
 			}
 		}
 
-		s.last = now
+		s.lastEvent = now
 	}
 }
 
-// startHead hands a slot to the first waiting request of the class.
+// startHead starts the first waiting request of the class.
 func (s *Scheduler) startHead(now time.Time, c *class) Decision {
 	e := c.queue[0]
 	c.queue[0] = nil
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -92,7 +92,7 @@
 	b.is.True(b.scheduler.Finish(now, id, admission.Completed))
 }
 
-// TestReserve guards against bulk requests that take every slot.
+// TestReserve guards against long requests of a bulk class that take every slot.
 func TestReserve(t *testing.T) {
 	b := newBench(t)
 	first := b.run(at(0), "bulk")
@@ -107,7 +107,8 @@
 	b.next(at(3), admission.Run, admission.ReasonNone, waiting)
 }
 
-// TestMinimumShare guards against a flood of urgent work that starves others.
+// TestMinimumShare guards against a flood of urgent requests that denies another
+// class its minimum share.
 func TestMinimumShare(t *testing.T) {
 	b := newBench(t)
 	running := []uint64{b.run(at(0), "urgent"), b.run(at(0), "urgent"), b.run(at(0), "urgent")}
@@ -118,8 +119,8 @@
 	b.next(at(100), admission.Run, admission.ReasonNone, bulk)
 }
 
-// TestDeadline guards against work whose answer would come too late, and
-// against a refusal after the hand-over.
+// TestDeadline guards against running requests that cannot meet their deadline,
+// and against refusing a request that already runs.
 func TestDeadline(t *testing.T) {
 	b := newBench(t)
 
@@ -138,18 +139,18 @@
 
 	wake, ok := b.scheduler.Wake()
 	b.is.True(ok)
-	b.is.True(wake.Before(at(1400))) // the queue is left in time for the service
+	b.is.True(wake.Before(at(1400))) // early enough to run before the deadline
 
 	expired := b.scheduler.Next(wake)
 	b.is.Equal(len(expired), 3)
 	b.is.Equal(expired[0], admission.Decision{ID: waiting, Action: admission.Refuse, Reason: admission.ReasonDeadline})
 
-	b.is.Equal(len(b.scheduler.Next(at(60_000))), 0) // what runs is never refused
+	b.is.Equal(len(b.scheduler.Next(at(60_000))), 0) // running requests are never refused
 	b.finish(at(60_000), running)
 }
 
-// TestEstimate guards against an estimate that grew too high and then refuses
-// everything, and against queueing what is bound to be late.
+// TestEstimate guards against too high an estimate that refuses every request,
+// and against queueing requests that cannot meet their deadline.
 func TestEstimate(t *testing.T) {
 	b := newBench(t)
 
@@ -183,7 +184,7 @@
 	}
 
 	b.refuse(at(1), "bulk", admission.ReasonQueue)
-	b.run(at(1), "urgent") // the room of one class is not that of another
+	b.run(at(1), "urgent") // a full queue does not affect another class
 
 	duplicate := b.scheduler.Offer(at(1), admission.Request{ID: b.nextID, Class: "urgent"})
 	b.is.Equal(duplicate.Reason, admission.ReasonDuplicate)
@@ -204,8 +205,8 @@
 	b.run(at(2), "urgent")
 }
 
-// TestDrain guards against new work after a drain and against a running
-// request that a drain ends.
+// TestDrain guards against new work after a drain, and against a drain that ends
+// running requests.
 func TestDrain(t *testing.T) {
 	b := newBench(t)
 	ids := []uint64{b.run(at(0), "bulk"), b.run(at(0), "bulk")}
@@ -218,18 +219,18 @@
 	b.finish(at(5000), ids[1])
 }
 
-// TestReconfigure guards against waiting requests that are lost, and against
-// too many running requests, when a document changes classes and slots.
+// TestReconfigure guards against lost waiting requests, and against too many
+// running requests, when a new policy changes classes and slots.
 func TestReconfigure(t *testing.T) {
 	b := newBench(t)
 	running := []uint64{b.run(at(0), "bulk"), b.run(at(0), "bulk"), b.run(at(0), "urgent")}
-	gone := b.wait(at(0), "bulk")
+	refused := b.wait(at(0), "bulk")
 	kept := b.wait(at(0), "urgent")
 
 	changed := policy()
 	changed.Classes = changed.Classes[1:]
 	changed.Slots = 1
-	b.expect(b.scheduler.Reconfigure(at(1), changed), admission.Refuse, admission.ReasonClass, gone)
+	b.expect(b.scheduler.Reconfigure(at(1), changed), admission.Refuse, admission.ReasonClass, refused)
 
 	b.finish(at(2), running[0])
 	b.finish(at(2), running[1])
@@ -238,9 +239,9 @@
 	b.next(at(2), admission.Run, admission.ReasonNone, kept)
 }
 
-// TestRandom guards against leaked slots, unbounded memory and decisions that
-// contradict each other, with many classes and random events. The scheduler
-// asserts its own invariants meanwhile.
+// TestRandom guards against leaked slots, unbounded queues and contradictory
+// decisions, with many classes and random events. The scheduler asserts its own
+// invariants meanwhile.
 func TestRandom(t *testing.T) {
 	soak.Run(t, 20, func(t *testing.T, seed uint64) {
 		is := is.New(t)
@@ -258,7 +259,7 @@
 		states := make(map[uint64]admission.Action)
 		apply := func(decisions ...admission.Decision) {
 			for _, d := range decisions {
-				is.True(states[d.ID] == 0 || states[d.ID] == admission.Wait) // nothing is settled twice
+				is.True(states[d.ID] == 0 || states[d.ID] == admission.Wait) // no request is decided twice
 				states[d.ID] = d.Action
 			}
 		}
--- a/internal/coordination/admission/choose.go
+++ b/internal/coordination/admission/choose.go
@@ -34,17 +34,18 @@
 	return urgent
 }
 
-// mayStart keeps the reserved slots free of long requests. It counts requests
-// and not free slots, so that the urgent class, when it holds all slots
-// itself, does not keep the others from their minimum share.
+// mayStart reports whether a request of the class may take a slot. It keeps the
+// reserved slots free of long requests. It counts running long requests and not
+// free slots, so that the most urgent class cannot deny the others their minimum
+// share by holding all slots itself.
 func (s *Scheduler) mayStart(c *class) bool {
-	if !s.long(c) || s.policy.Slots <= reservedSlots {
+	if !s.isLong(c) || s.policy.Slots <= reservedSlots {
 		return true
 	}
 
 	running := 0
 	for _, other := range s.classes {
-		if s.long(other) {
+		if s.isLong(other) {
 			running += other.running
 		}
 	}
@@ -52,29 +53,29 @@
 	return running < s.policy.Slots-reservedSlots
 }
 
-// long reports whether waiting for a request of the class could make the most
+// isLong reports whether waiting for a request of the class could make the most
 // urgent class miss its deadline.
-func (s *Scheduler) long(c *class) bool {
+func (s *Scheduler) isLong(c *class) bool {
 	first, ok := s.mostUrgent()
 	if !ok || c.settings.Feed || c.settings.Urgency == first.Urgency {
 		return false
 	}
 
-	return !c.service.known || c.service.upper() > first.Deadline/4
+	return !c.serviceTime.known || c.serviceTime.upper() > first.Deadline/4
 }
 
-// wait estimates how long a request at the end of the class's queue waits. Its
-// turn comes by urgency or by minimum share, whichever is sooner.
-func (s *Scheduler) wait(c *class) time.Duration {
+// expectedWait estimates how long a request at the end of the class's queue waits.
+// It starts by urgency or by minimum share, whichever is sooner.
+func (s *Scheduler) expectedWait(c *class) time.Duration {
 	return min(s.waitByUrgency(c), s.waitByShare(c))
 }
 
-// waitByUrgency is the time in which the requests that are served before end,
-// at the rate at which the running requests free their slots.
+// waitByUrgency estimates the wait from the number of requests queued in classes
+// at least as urgent, and the rate at which running requests end.
 func (s *Scheduler) waitByUrgency(c *class) time.Duration {
 	var (
-		before int
-		ends   float64 // per second
+		queuedBefore   int
+		completionRate float64 // per second
 	)
 
 	for _, other := range s.classes {
@@ -82,27 +83,28 @@
 			continue
 		}
 
-		ends += float64(other.running) / other.service.expected().Seconds()
+		completionRate += float64(other.running) / other.serviceTime.expected().Seconds()
 
 		if other.settings.Urgency <= c.settings.Urgency {
-			before += len(other.queue)
+			queuedBefore += len(other.queue)
 		}
 	}
 
-	if ends == 0 {
+	if completionRate == 0 {
 		return 0
 	}
 
-	return time.Duration(float64(before) / ends * float64(time.Second))
+	return time.Duration(float64(queuedBefore) / completionRate * float64(time.Second))
 }
 
-// waitByShare is the time in which the class earns the slot time of its queue.
+// waitByShare returns the time in which the class earns enough credit for the
+// requests of its queue.
 func (s *Scheduler) waitByShare(c *class) time.Duration {
 	if c.settings.MinSharePercent == 0 {
 		return math.MaxInt64
 	}
 
-	needed := c.service.expected()*time.Duration(len(c.queue)-1) - c.credit
+	needed := c.serviceTime.expected()*time.Duration(len(c.queue)-1) - c.credit
 
 	return max(needed, 0) * 100 / time.Duration(s.policy.Slots*int(c.settings.MinSharePercent))
 }
--- a/internal/coordination/admission/class.go
+++ b/internal/coordination/admission/class.go
@@ -6,19 +6,20 @@
 	"jayspindle/internal/state/view"
 )
 
-// maxCredit bounds, in slot time, how much a class can save up or owe. Without
-// a bound, a class that was idle for an hour could hold every slot afterwards,
-// and one that used idle slots could lose its minimum share for as long.
+// maxCredit bounds the credit or debt of a class in slot time. Without a bound, a
+// class that was idle for an hour could hold every slot for a long time, and one
+// that used otherwise idle slots could lose its minimum share for as long.
 const maxCredit = 10 * time.Second
 
-// earnedPercent is how much of its minimum share a class earns. Waiting requests
-// of one class expire while another class holds the slots, so that with 100% a
-// class received 0.965 to 1.05 of its share in a flood of the urgent class.
-const earnedPercent = 110
+// earnedSharePercent is the credit that a class earns, relative to its minimum
+// share. Waiting requests of one class expire while another class holds the slots,
+// so that with 100% a class received 0.965 to 1.05 of its share in a flood of the
+// urgent class.
+const earnedSharePercent = 110
 
-// savedCredit is what a class that does not wait can save up. It lets a burst
-// pass that is within the share on average.
-const savedCredit = 2 * time.Second
+// maxIdleCredit bounds the credit of a class without waiting requests. It lets
+// the class send a burst that is within its share on average.
+const maxIdleCredit = 2 * time.Second
 
 // entry is a request that waits or runs.
 type entry struct {
@@ -30,22 +31,22 @@
 
 // class is the state of one class of the service.
 type class struct {
-	settings view.Class
-	queue    []*entry  // first come first served
-	soonest  time.Time // no waiting request has an earlier deadline
-	running  int
-	service  estimate
-	credit   time.Duration // slot time that the minimum share still grants
+	settings         view.Class
+	queue            []*entry  // first come first served
+	earliestDeadline time.Time // lower bound of the deadlines in the queue
+	running          int
+	serviceTime      estimate
+	credit           time.Duration // slot time earned by the minimum share and not used yet
 }
 
 // advance accounts for the slot time that the class earned and used.
 func (c *class) advance(elapsed time.Duration, slots int) {
-	earned := elapsed * time.Duration(slots*int(c.settings.MinSharePercent)*earnedPercent) / (100 * 100)
+	earned := elapsed * time.Duration(slots*int(c.settings.MinSharePercent)*earnedSharePercent) / (100 * 100)
 	c.credit += earned - elapsed*time.Duration(c.running)
 
 	upper := maxCredit
 	if len(c.queue) == 0 {
-		upper = savedCredit
+		upper = maxIdleCredit
 	}
 
 	c.credit = min(max(c.credit, -maxCredit), upper)
@@ -53,23 +54,24 @@
 
 // add appends a request to the queue.
 func (c *class) add(e *entry) {
-	if len(c.queue) == 0 || e.deadline.Before(c.soonest) {
-		c.soonest = e.deadline
+	if len(c.queue) == 0 || e.deadline.Before(c.earliestDeadline) {
+		c.earliestDeadline = e.deadline
 	}
 
 	c.queue = append(c.queue, e)
 }
 
-// startBy returns the latest start that leaves time for the service. Half of
-// the deadline is always allowed for waiting, because an estimate that grew
-// too high would otherwise refuse everything and never be corrected.
-func (c *class) startBy(deadline time.Time) time.Time {
-	return deadline.Add(-min(c.service.likely(), c.settings.Deadline/2))
+// latestStart returns the latest start at which a request can still meet its
+// deadline. Requests may always wait for half of the deadline of the class:
+// otherwise too high an estimate would refuse every request, and no request would
+// correct it.
+func (c *class) latestStart(deadline time.Time) time.Time {
+	return deadline.Add(-min(c.serviceTime.likely(), c.settings.Deadline/2))
 }
 
 // expire removes the waiting requests that cannot meet their deadline.
 func (c *class) expire(now time.Time) []*entry {
-	if len(c.queue) == 0 || !now.After(c.startBy(c.soonest)) {
+	if len(c.queue) == 0 || !now.After(c.latestStart(c.earliestDeadline)) {
 		return nil
 	}
 
@@ -79,7 +81,7 @@
 	c.queue = c.queue[:0]
 
 	for _, e := range waiting {
-		if now.After(c.startBy(e.deadline)) {
+		if now.After(c.latestStart(e.deadline)) {
 			expired = append(expired, e)
 		} else {
 			c.add(e)
--- a/internal/coordination/admission/estimate.go
+++ b/internal/coordination/admission/estimate.go
@@ -8,37 +8,37 @@
 	likelyFactor  = 2
 	upperFactor   = 4 // the factor K of RFC 6298
 
-	// initialService is assumed before the first observation. It is short, so
-	// that an unknown class is tried and not refused.
+	// initialService is the service time assumed before the first sample. It is
+	// short, so that requests of an unknown class are run and not refused.
 	initialService = 10 * time.Millisecond
 )
 
-// estimate follows the service time of a class with a smoothed mean and a
-// smoothed mean deviation (RFC 6298, section 2).
+// estimate tracks the service time of a class as a smoothed mean and a smoothed
+// mean deviation (RFC 6298, section 2).
 type estimate struct {
 	known     bool
 	mean      time.Duration
 	deviation time.Duration
 }
 
-// observe takes one measured service time into account.
-func (e *estimate) observe(taken time.Duration) {
+// observe updates the estimate with a measured service time.
+func (e *estimate) observe(sample time.Duration) {
 	if !e.known {
 		e.known = true
-		e.mean = taken
-		e.deviation = taken / 2
+		e.mean = sample
+		e.deviation = sample / 2
 
 		return
 	}
 
-	e.deviation += time.Duration(deviationGain * float64((taken-e.mean).Abs()-e.deviation))
-	e.mean += time.Duration(meanGain * float64(taken-e.mean))
+	e.deviation += time.Duration(deviationGain * float64((sample-e.mean).Abs()-e.deviation))
+	e.mean += time.Duration(meanGain * float64(sample-e.mean))
 }
 
-// observeAtLeast takes a lower bound of a service time into account.
-func (e *estimate) observeAtLeast(taken time.Duration) {
-	if !e.known || taken > e.mean {
-		e.observe(taken)
+// observeAtLeast updates the estimate with a lower bound of a service time.
+func (e *estimate) observeAtLeast(sample time.Duration) {
+	if !e.known || sample > e.mean {
+		e.observe(sample)
 	}
 }
 
@@ -50,12 +50,12 @@
 	return max(e.mean, time.Microsecond)
 }
 
-// likely is a service time that most requests do not exceed.
+// likely returns a service time that most requests do not exceed.
 func (e *estimate) likely() time.Duration {
 	return e.expected() + likelyFactor*e.deviation
 }
 
-// upper is a service time that few requests exceed.
+// upper returns a service time that few requests exceed.
 func (e *estimate) upper() time.Duration {
 	return e.expected() + upperFactor*e.deviation
 }
--- a/internal/coordination/admission/policy.go
+++ b/internal/coordination/admission/policy.go
@@ -8,7 +8,8 @@
 
 // DefaultQueueLength bounds the waiting requests of one class. With 4 slots
 // and service times of 50 ms, 64 requests are 0.8 s of work, which is less
-// than the deadlines in use; longer queues only make answers late.
+// than the deadlines in use. In a longer queue more requests would only be answered
+// too late.
 const DefaultQueueLength = 64
 
 // Policy describes the backend server that a scheduler protects.
@@ -36,14 +37,14 @@
 	Deadline time.Time // optional; the class caps it
 }
 
-// Action tells the shell what to do with a request.
+// Action tells the agent what to do with a request.
 type Action uint8
 
 // The actions of a Decision.
 const (
 	// Run: hand the request over now.
 	Run Action = iota + 1
-	// Wait: the request is queued; a later Decision settles it.
+	// Wait: the request is queued until a later Decision.
 	Wait
 	// Refuse: the request was not run and will not be.
 	Refuse
@@ -82,7 +83,7 @@
 const (
 	// Completed: the backend server answered.
 	Completed Outcome = iota + 1
-	// Abandoned: the shell stopped waiting, so the time taken is only a lower
+	// Abandoned: the agent stopped waiting, so the time taken is only a lower
 	// bound of the service time.
 	Abandoned
 )
