--- a/internal/coordination/forward/agent.go
+++ b/internal/coordination/forward/agent.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Counts returns the decisions by reason.
+// Counts returns the number of decisions by reason.
 func (a *Agent) Counts() Counts {
 	var total Counts
 
@@ -79,10 +79,10 @@
 	}
 
 	if reason := a.datagrams.Open(received, &a.header); reason != datagram.OK {
-		return drop(ofHeader[reason])
+		return drop(headerReasons[reason])
 	}
 
-	a.paths.hear(now, a.header.Balancer)
+	a.paths.recordReceived(now, a.header.Balancer)
 
 	switch a.header.Kind {
 	case datagram.Forward:
@@ -96,8 +96,8 @@
 	}
 }
 
-// accept delivers only what is addressed to this service and incarnation: an
-// address can have belonged to another agent, of any service.
+// accept delivers a datagram only if it is addressed to this service and
+// incarnation: the address may have belonged to an agent of any service before.
 func (a *Agent) accept(received []byte, source netip.AddrPort) Decision {
 	if a.header.Agent != a.self {
 		header := a.header
@@ -127,7 +127,8 @@
 
 // Reply returns the header of a reply and the balancer to send it to. It
 // reports false if there is no balancer. Successive replies to one caller take
-// different balancers, so a retransmission does not follow its original.
+// different balancers, so a retransmission takes another path than the original
+// packet.
 func (a *Agent) Reply(now time.Time, caller netip.AddrPort) (datagram.Header, netip.AddrPort, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/internal/coordination/forward/agent_test.go
+++ b/internal/coordination/forward/agent_test.go
@@ -15,35 +15,37 @@
 func newAgent(t testing.TB, change func(*view.Contents)) *forward.Agent {
 	t.Helper()
 
-	made := contents()
+	viewContents := contents()
 	if change != nil {
-		change(&made)
+		change(&viewContents)
 	}
 
 	agent := forward.NewAgent(1, crew)
-	is.New(t).NoErr(agent.Apply(view.New(made)))
+	is.New(t).NoErr(agent.Apply(view.New(viewContents)))
 
 	return agent
 }
 
-// hear passes a ping of a balancer to an agent.
-func hear(f fixture, agent *forward.Agent, now time.Time, balancer view.Incarnation) forward.Decision {
+// receivePing passes a ping of a balancer to an agent.
+func receivePing(f fixture, agent *forward.Agent, now time.Time, balancer view.Incarnation) forward.Decision {
 	ping := datagram.Header{Kind: datagram.Ping, Balancer: balancer}
 
 	return agent.Receive(now, f.sealed(ping, ""), address(int(balancer)))
 }
 
-// callers makes each caller a new one: the agent remembers the last way to it.
-var callers uint16
+// callerPort gives each reply a new caller, because the agent remembers the last
+// balancer of a caller.
+var callerPort uint16
 
-// routes returns the balancers of the next replies, each to another caller.
-func routes(agent *forward.Agent, now time.Time, replies int) map[view.Incarnation]int {
+// replyCounts returns how many of the next replies, each to a new caller, go
+// through each balancer.
+func replyCounts(agent *forward.Agent, now time.Time, replies int) map[view.Incarnation]int {
 	count := map[view.Incarnation]int{}
 
 	for range replies {
-		callers++
+		callerPort++
 
-		to := netip.AddrPortFrom(caller.Addr(), callers)
+		to := netip.AddrPortFrom(caller.Addr(), callerPort)
 		if header, _, ok := agent.Reply(now, to); ok {
 			count[header.Balancer]++
 		}
@@ -53,7 +55,7 @@
 }
 
 // Guards against delivery to another service or incarnation after an address
-// was reused, and against a stale notice that hits the agent itself.
+// was reused, and against a stale notice about the agent that sends it.
 func TestReceive(t *testing.T) {
 	f, agent := newFixture(t, nil), newAgent(t, nil)
 	header := datagram.Header{Kind: datagram.Forward, Service: crew, Agent: 1, Balancer: self, Caller: caller}
@@ -80,35 +82,36 @@
 	is.New(t).Equal(agent.Counts()[forward.WrongAgent], uint64(1))
 }
 
-// Guards against replies that go on to a silent balancer for longer than a
-// second, and against an agent that cannot reply before it heard from any.
+// Guards against replies through a balancer that has been silent for longer than
+// a second, and against an agent that cannot reply before the first datagram of a
+// balancer.
 func TestReplyRotation(t *testing.T) {
 	f, agent := newFixture(t, nil), newAgent(t, nil)
 
-	is.New(t).Equal(routes(agent, start, 6), map[view.Incarnation]int{900: 2, 901: 2, 902: 2})
+	is.New(t).Equal(replyCounts(agent, start, 6), map[view.Incarnation]int{900: 2, 901: 2, 902: 2})
 
-	hear(f, agent, start, 900)
-	hear(f, agent, start, 901)
-	is.New(t).Equal(routes(agent, start, 6), map[view.Incarnation]int{900: 3, 901: 3})
+	receivePing(f, agent, start, 900)
+	receivePing(f, agent, start, 901)
+	is.New(t).Equal(replyCounts(agent, start, 6), map[view.Incarnation]int{900: 3, 901: 3})
 
-	hear(f, agent, start.Add(time.Second), 901)
-	is.New(t).Equal(routes(agent, start.Add(1001*time.Millisecond), 6), map[view.Incarnation]int{901: 6})
-	is.New(t).Equal(len(routes(agent, start.Add(3*time.Second), 6)), 3)
+	receivePing(f, agent, start.Add(time.Second), 901)
+	is.New(t).Equal(replyCounts(agent, start.Add(1001*time.Millisecond), 6), map[view.Incarnation]int{901: 6})
+	is.New(t).Equal(len(replyCounts(agent, start.Add(3*time.Second), 6)), 3)
 
 	for balancer := self; balancer < self+3; balancer++ {
-		hear(f, agent, start.Add(4*time.Second), balancer)
+		receivePing(f, agent, start.Add(4*time.Second), balancer)
 	}
 
-	even := map[view.Incarnation]int{900: 2, 901: 2, 902: 2}
-	is.New(t).Equal(routes(agent, start.Add(4*time.Second), 6), even)
+	expected := map[view.Incarnation]int{900: 2, 901: 2, 902: 2}
+	is.New(t).Equal(replyCounts(agent, start.Add(4*time.Second), 6), expected)
 }
 
-// Guards against a retransmission that follows its original, whatever other
-// callers are answered in between.
+// Guards against a retransmission that takes the same path as the original packet,
+// however many replies to other callers lie between them.
 func TestReplyOtherWay(t *testing.T) {
 	f, agent := newFixture(t, nil), newAgent(t, nil)
 	for balancer := self; balancer < self+3; balancer++ {
-		hear(f, agent, start, balancer)
+		receivePing(f, agent, start, balancer)
 	}
 
 	last := view.Incarnation(0)
@@ -125,36 +128,37 @@
 	}
 }
 
-// Guards against giving a silent balancer its share for the whole second.
+// Guards against a silent balancer that gets its share of the replies until the
+// timeout of a second.
 func TestReplyRecency(t *testing.T) {
 	f, agent := newFixture(t, nil), newAgent(t, nil)
 	for balancer := self; balancer < self+3; balancer++ {
-		hear(f, agent, start, balancer)
+		receivePing(f, agent, start, balancer)
 	}
 
 	later := start.Add(100 * time.Millisecond)
 
-	hear(f, agent, later, 900)
-	hear(f, agent, later, 901)
-	is.New(t).Equal(routes(agent, later, 60)[902], 0)
+	receivePing(f, agent, later, 900)
+	receivePing(f, agent, later, 901)
+	is.New(t).Equal(replyCounts(agent, later, 60)[902], 0)
 }
 
 // Guards against replies to balancers that drain or are not in the view: the
-// address of such a one would come from a datagram that anyone can replay.
+// address of an unknown one would come from a datagram that anyone can replay.
 func TestReplyViews(t *testing.T) {
 	f := newFixture(t, nil)
 	agent := newAgent(t, func(c *view.Contents) { c.Balancers[1].State = view.Draining })
 
-	hear(f, agent, start, 901) // draining
-	hear(f, agent, start, 950) // not in the view
-	is.New(t).Equal(routes(agent, start, 4), map[view.Incarnation]int{900: 2, 902: 2})
+	receivePing(f, agent, start, 901) // draining
+	receivePing(f, agent, start, 950) // not in the view
+	is.New(t).Equal(replyCounts(agent, start, 4), map[view.Incarnation]int{900: 2, 902: 2})
 
 	later := contents()
 	later.Position.Index++
 	later.Balancers = append(later.Balancers, view.Balancer{Incarnation: 950, Data: address(950), State: view.Active})
 	is.New(t).NoErr(agent.Apply(view.New(later)))
-	is.New(t).Equal(routes(agent, start, 4), map[view.Incarnation]int{901: 4})
+	is.New(t).Equal(replyCounts(agent, start, 4), map[view.Incarnation]int{901: 4})
 
-	hear(f, agent, start, 950)
-	is.New(t).Equal(routes(agent, start, 4), map[view.Incarnation]int{901: 2, 950: 2})
+	receivePing(f, agent, start, 950)
+	is.New(t).Equal(replyCounts(agent, start, 4), map[view.Incarnation]int{901: 2, 950: 2})
 }
--- a/internal/coordination/forward/balancer.go
+++ b/internal/coordination/forward/balancer.go
@@ -20,7 +20,8 @@
 //	decision := agent.Receive(now, received, source)
 //	header, to, ok := agent.Reply(now, caller)
 //
-// Deciding does not allocate and blocks only on short locks for first packets.
+// Deciding does not allocate. A worker takes short locks only for first packets and
+// stale notices, an Agent takes one for each decision.
 package forward
 
 import (
@@ -39,7 +40,7 @@
 	"jayspindle/internal/state/view"
 )
 
-// snapshot is everything that workers read. It never changes.
+// snapshot holds the state that workers read. It is immutable.
 type snapshot struct {
 	view        *view.View
 	table       *routing.Table
@@ -72,7 +73,7 @@
 // Apply puts a view in force. Limits that did not change keep their state.
 func (b *Balancer) Apply(next *view.View) error {
 	old := b.current.Load()
-	made := &snapshot{view: next}
+	updated := &snapshot{view: next}
 
 	if old != nil {
 		if err := checkPosition(old.view, next); err != nil {
@@ -80,20 +81,20 @@
 		}
 	}
 
-	if err := made.setKeys(old, next); err != nil {
+	if err := updated.setKeys(old, next); err != nil {
 		return newError(KindKeys, err)
 	}
 
 	if old == nil {
-		made.table = routing.New(next)
+		updated.table = routing.New(next)
 	} else {
-		made.table = old.table.Next(next)
+		updated.table = old.table.Next(next)
 	}
 
-	made.limiters = b.limitersOf(old, next)
-	made.addresses = sync.OnceValue(func() map[netip.AddrPort][]view.Incarnation { return byAddress(next) })
+	updated.limiters = b.limitersOf(old, next)
+	updated.addresses = sync.OnceValue(func() map[netip.AddrPort][]view.Incarnation { return byAddress(next) })
 
-	b.current.Store(made)
+	b.current.Store(updated)
 	b.skips.clear()
 
 	return nil
@@ -129,7 +130,7 @@
 }
 
 // limitersOf returns the limiters of a view by service ID. A service whose
-// limits are the same keeps its limiter, so that a view does not refill it.
+// limits are the same keeps its limiter, so that a new view does not refill it.
 func (b *Balancer) limitersOf(old *snapshot, next *view.View) []*limiter {
 	services := next.Services()
 	if len(services) == 0 {
@@ -161,8 +162,8 @@
 	return agents
 }
 
-// Refused notes that a destination refused a datagram: first packets pass over
-// its agents until the view changes, for at most 3 s.
+// Refused records that a destination refused a datagram: first packets skip its
+// agents until the view changes, for at most 3 s.
 func (b *Balancer) Refused(now time.Time, destination netip.AddrPort) {
 	current := b.current.Load()
 	if current == nil {
@@ -174,7 +175,7 @@
 	}
 }
 
-// Counts returns the decisions of all workers by reason.
+// Counts returns the number of decisions of all workers by reason.
 func (b *Balancer) Counts() Counts {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -187,7 +188,7 @@
 	return total
 }
 
-// Worker returns the state of one goroutine that decides.
+// Worker returns a new worker for one goroutine.
 func (b *Balancer) Worker() *Worker {
 	worker := &Worker{balancer: b}
 
@@ -199,7 +200,7 @@
 	return worker
 }
 
-// Worker decides for one goroutine.
+// Worker makes the decisions of one goroutine.
 type Worker struct {
 	balancer *Balancer
 	scratch  connid.Scratch
@@ -237,18 +238,18 @@
 	}
 
 	if agent, ok := current.connections.Open(&w.scratch, packet.DCID, service); ok {
-		return w.toAgent(current, Direct, service, agent, source)
+		return w.forwardTo(current, Direct, service, agent, source)
 	}
 
 	if !packet.First(len(payload)) {
 		return drop(NotFirst)
 	}
 
-	return w.first(now, current, service, packet.DCID, source)
+	return w.forwardFirst(now, current, service, packet.DCID, source)
 }
 
-// first decides on a packet that may open a flow.
-func (w *Worker) first(
+// forwardFirst decides on a packet that may open a flow.
+func (w *Worker) forwardFirst(
 	now time.Time, current *snapshot, service view.ServiceID, dcid []byte, source netip.AddrPort,
 ) Decision {
 	if int(service) >= len(current.limiters) || current.limiters[service] == nil {
@@ -267,21 +268,21 @@
 	}
 
 	if !w.balancer.skips.contains(now, owner) {
-		return w.toAgent(current, First, service, owner, source)
+		return w.forwardTo(current, First, service, owner, source)
 	}
 
 	for rank := 1; rank < min(maxRanks, current.table.Ranks(service)); rank++ {
 		agent, _ := current.table.Ranked(service, hash, rank)
 		if !w.balancer.skips.contains(now, agent) {
-			return w.toAgent(current, FirstFurther, service, agent, source)
+			return w.forwardTo(current, FirstFurther, service, agent, source)
 		}
 	}
 
-	// All are skipped, so the owner may have recovered as well as any.
-	return w.toAgent(current, First, service, owner, source)
+	// All are skipped: the owner is as likely to have recovered as any other.
+	return w.forwardTo(current, First, service, owner, source)
 }
 
-func (w *Worker) toAgent(
+func (w *Worker) forwardTo(
 	current *snapshot, reason Reason, service view.ServiceID, incarnation view.Incarnation, caller netip.AddrPort,
 ) Decision {
 	served, address, ok := current.table.Agent(incarnation)
@@ -312,7 +313,7 @@
 	}
 
 	if reason := current.datagrams.Open(received, &w.header); reason != datagram.OK {
-		return drop(ofHeader[reason])
+		return drop(headerReasons[reason])
 	}
 
 	switch w.header.Kind {
@@ -331,9 +332,10 @@
 	}
 }
 
-// reply accepts replies for an earlier balancer on this address and from agents
-// that the view does not have yet: the tag proves that the sender belongs to
-// the fabric, and any balancer can deliver for any agent.
+// reply delivers the payload of a reply to its caller. It also accepts replies to
+// an earlier balancer at this address and from agents that are not in the view
+// yet: the tag proves that the sender belongs to the fabric, and any balancer can
+// deliver for any agent.
 func (w *Worker) reply(current *snapshot, received []byte) Decision {
 	header := &w.header
 
--- a/internal/coordination/forward/balancer_test.go
+++ b/internal/coordination/forward/balancer_test.go
@@ -17,32 +17,32 @@
 func TestEstablished(t *testing.T) {
 	f := newFixture(t, func(c *view.Contents) { c.Agents[0].State, c.Agents[0].Weight = view.Draining, 0 })
 
-	assertSent(t, f.FromCaller(start, crew, f.established(crew, 1), caller), forward.Direct, 1)
-	assertSent(t, f.FromCaller(start, desk, f.established(desk, 2), caller), forward.Direct, 2)
-	assertDropped(t, f.FromCaller(start, desk, f.established(crew, 1), caller), forward.NotFirst)
-	assertDropped(t, f.FromCaller(start, crew, f.established(crew, 77), caller), forward.AgentGone)
+	assertSent(t, f.FromCaller(start, crew, f.establishedPacket(crew, 1), caller), forward.Direct, 1)
+	assertSent(t, f.FromCaller(start, desk, f.establishedPacket(desk, 2), caller), forward.Direct, 2)
+	assertDropped(t, f.FromCaller(start, desk, f.establishedPacket(crew, 1), caller), forward.NotFirst)
+	assertDropped(t, f.FromCaller(start, crew, f.establishedPacket(crew, 77), caller), forward.AgentGone)
 }
 
 // Guards against forwarding what no caller sends or no agent can use.
 func TestDropped(t *testing.T) {
 	f := newFixture(t, func(c *view.Contents) { c.Services = append(c.Services, view.Service{ID: 3}) })
-	retry := first(1)
+	retry := initialPacket(1)
 	retry[0] = 0xf0
 
 	assertDropped(t, f.FromCaller(start, crew, nil, caller), forward.NotQUIC)
 	assertDropped(t, f.FromCaller(start, crew, retry, caller), forward.NotCaller)
-	assertDropped(t, f.FromCaller(start, crew, first(1), netip.AddrPort{}), forward.NotCaller)
-	assertDropped(t, f.FromCaller(start, crew, first(1)[:1199], caller), forward.NotFirst)
-	assertDropped(t, f.FromCaller(start, 3, first(1), caller), forward.NoAgent)
-	assertDropped(t, f.FromCaller(start, 4, first(1), caller), forward.NoService)
-	assertDropped(t, forward.NewBalancer(self, 1).Worker().FromCaller(start, crew, first(1), caller), forward.NoView)
+	assertDropped(t, f.FromCaller(start, crew, initialPacket(1), netip.AddrPort{}), forward.NotCaller)
+	assertDropped(t, f.FromCaller(start, crew, initialPacket(1)[:1199], caller), forward.NotFirst)
+	assertDropped(t, f.FromCaller(start, 3, initialPacket(1), caller), forward.NoAgent)
+	assertDropped(t, f.FromCaller(start, 4, initialPacket(1), caller), forward.NoService)
+	assertDropped(t, forward.NewBalancer(self, 1).Worker().FromCaller(start, crew, initialPacket(1), caller), forward.NoView)
 }
 
 // Guards against first packets that go on being sent to an agent that refused
-// or was replaced, and against skipping it for longer than promised.
+// or was replaced, and against skipping it for longer than 3 s or a new view.
 func TestSkips(t *testing.T) {
 	f := newFixture(t, nil)
-	owner := f.FromCaller(start, crew, first(1), caller).Header.Agent
+	owner := f.FromCaller(start, crew, initialPacket(1), caller).Header.Agent
 	other := 4 - owner // 1 and 3 serve crew
 
 	for name, skip := range map[string]func(){
@@ -54,23 +54,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			skip()
-			assertSent(t, f.FromCaller(start, crew, first(1), caller), forward.FirstFurther, other)
-			assertSent(t, f.FromCaller(start, crew, f.established(crew, owner), caller), forward.Direct, owner)
-			assertSent(t, f.FromCaller(start.Add(3*time.Second), crew, first(1), caller), forward.First, owner)
+			assertSent(t, f.FromCaller(start, crew, initialPacket(1), caller), forward.FirstFurther, other)
+			assertSent(t, f.FromCaller(start, crew, f.establishedPacket(crew, owner), caller), forward.Direct, owner)
+			assertSent(t, f.FromCaller(start.Add(3*time.Second), crew, initialPacket(1), caller), forward.First, owner)
 
 			is.New(t).NoErr(f.balancer.Apply(view.New(contents())))
-			assertSent(t, f.FromCaller(start, crew, first(1), caller), forward.First, owner)
+			assertSent(t, f.FromCaller(start, crew, initialPacket(1), caller), forward.First, owner)
 
 			f.balancer.Refused(start, address(1))
 			f.balancer.Refused(start, address(3))
-			assertSent(t, f.FromCaller(start, crew, first(1), caller), forward.First, owner)
+			assertSent(t, f.FromCaller(start, crew, initialPacket(1), caller), forward.First, owner)
 			is.New(t).NoErr(f.balancer.Apply(view.New(contents())))
 		})
 	}
 }
 
 // Guards against replies that reach callers from the socket of another
-// service, and against losing those of agents that the view does not have yet.
+// service, and against losing those of agents that are not in the view yet.
 func TestReplies(t *testing.T) {
 	f := newFixture(t, nil)
 	reply := datagram.Header{Kind: datagram.Reply, Service: crew, Agent: 1, Balancer: self, Caller: caller}
@@ -119,7 +119,7 @@
 		for i := range packets {
 			// One second of arrivals at an even rate.
 			now := start.Add(time.Second * time.Duration(i) / time.Duration(packets))
-			if f.FromCaller(now, service, first(i), pick(i)).Action == forward.Send {
+			if f.FromCaller(now, service, initialPacket(i), pick(i)).Action == forward.Send {
 				sent++
 			}
 		}
@@ -144,17 +144,18 @@
 	is.New(t).Equal(count(desk, 800, source), 800)
 }
 
-// Guards against a view that turns back and against one without keys.
+// Guards against accepting a view with a lower position than the current one, or a
+// view without keys.
 func TestApply(t *testing.T) {
 	f := newFixture(t, nil)
 	lower := contents()
 	lower.Position.Index = 4
 
-	without := contents()
-	without.Keys = nil
+	withoutKeys := contents()
+	withoutKeys.Keys = nil
 
 	is.New(t).True(f.balancer.Apply(view.New(lower)) != nil)
-	is.New(t).True(f.balancer.Apply(view.New(without)) != nil)
-	assertSent(t, f.FromCaller(start, crew, f.established(crew, 1), caller), forward.Direct, 1)
+	is.New(t).True(f.balancer.Apply(view.New(withoutKeys)) != nil)
+	assertSent(t, f.FromCaller(start, crew, f.establishedPacket(crew, 1), caller), forward.Direct, 1)
 	is.New(t).Equal(f.balancer.Counts()[forward.Direct], uint64(1))
 }
--- a/internal/coordination/forward/decision.go
+++ b/internal/coordination/forward/decision.go
@@ -18,7 +18,7 @@
 	Drop    Action = iota // nothing
 	Send                  // seal the header in front of the payload and send both
 	Answer                // seal the header and send it without payload
-	Deliver               // hand the payload behind the received header to its receiver
+	Deliver               // hand the payload after the received header to its receiver
 )
 
 // Decision is the result for one datagram. On a balancer, Deliver sends the
@@ -38,7 +38,7 @@
 const (
 	Direct         Reason = iota // sent to the agent that the connection ID names
 	First                        // sent to the owner of the bucket
-	FirstFurther                 // sent to a further rank, since better ones are skipped
+	FirstFurther                 // sent to an agent of a later rank, since the earlier ones are skipped
 	Delivered                    // delivered to the caller, or to QUIC
 	Answered                     // answered with a pong
 	Noted                        // a stale notice or a pong
@@ -55,10 +55,10 @@
 	HeaderKey                    // the header has an unknown key or format
 	HeaderTag                    // the tag of the header is wrong
 	HeaderField                  // the header has an unknown kind or flag
-	WrongKind                    // this side does not receive the kind
+	WrongKind                    // the receiver does not accept this kind
 	WrongService                 // the header names another service than the agent serves
 	WrongAgent                   // the header names another incarnation; answered with a stale notice
-	NoPayload                    // there is nothing behind the header
+	NoPayload                    // there is no payload after the header, or no caller in it
 	Reasons                      // the number of reasons
 )
 
@@ -77,8 +77,8 @@
 	return reasonNames[r]
 }
 
-// ofHeader returns the reasons for headers that do not open.
-var ofHeader = [datagram.Reasons]Reason{
+// headerReasons maps the errors of opening a header to reasons.
+var headerReasons = [datagram.Reasons]Reason{
 	datagram.Short: HeaderShort, datagram.UnknownKey: HeaderKey,
 	datagram.BadTag: HeaderTag, datagram.BadField: HeaderField,
 }
@@ -109,8 +109,8 @@
 func drop(reason Reason) Decision { return Decision{Action: Drop, Reason: reason} }
 
 // assertService asserts that a datagram goes to an agent of its service. The
-// attributes are made only for a violation, since they would be allocated for
-// each datagram.
+// attributes are created only for a violation, since they would cost an
+// allocation for each datagram.
 func assertService(ok bool, service view.ServiceID, agent view.Incarnation) {
 	if !ok {
 		invariant.Assert(false, "forward: a datagram reaches only its service and agent",
--- a/internal/coordination/forward/fleet_test.go
+++ b/internal/coordination/forward/fixture_test.go
@@ -30,32 +30,32 @@
 // contents has agents 1 to 4, odd ones of service crew and even ones of desk,
 // and balancers 900 to 902.
 func contents() view.Contents {
-	made := view.Contents{Position: view.Position{Index: 5}, Keys: secret}
+	result := view.Contents{Position: view.Position{Index: 5}, Keys: secret}
 	for _, id := range []view.ServiceID{crew, desk} {
-		made.Services = append(made.Services, view.Service{ID: id, Buckets: 64})
+		result.Services = append(result.Services, view.Service{ID: id, Buckets: 64})
 	}
 
 	for i := range 4 {
-		made.Agents = append(made.Agents, view.Agent{
+		result.Agents = append(result.Agents, view.Agent{
 			Incarnation: view.Incarnation(i + 1), Service: crew + view.ServiceID(i%2),
 			Data: address(i + 1), Weight: view.MaxWeight, State: view.Active,
 		})
 	}
 
 	for i := range 3 {
-		made.Balancers = append(made.Balancers, view.Balancer{
+		result.Balancers = append(result.Balancers, view.Balancer{
 			Incarnation: self + view.Incarnation(i), Data: address(900 + i), State: view.Active,
 		})
 	}
 
-	return made
+	return result
 }
 
 func address(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number >> 8), byte(number)}), 7)
 }
 
-// fixture is a balancer with one worker and what its view contains.
+// fixture is a balancer with one worker, and the keys of its view.
 type fixture struct {
 	*forward.Worker
 	balancer *forward.Balancer
@@ -66,13 +66,13 @@
 func newFixture(t testing.TB, change func(*view.Contents)) fixture {
 	t.Helper()
 
-	made := contents()
+	viewContents := contents()
 	if change != nil {
-		change(&made)
+		change(&viewContents)
 	}
 
 	balancer := forward.NewBalancer(self, 1)
-	is.New(t).NoErr(balancer.Apply(view.New(made)))
+	is.New(t).NoErr(balancer.Apply(view.New(viewContents)))
 
 	ids, err := connid.New(secret)
 	is.New(t).NoErr(err)
@@ -83,16 +83,16 @@
 	return fixture{Worker: balancer.Worker(), balancer: balancer, ids: ids, headers: headers}
 }
 
-// first returns an Initial packet with a connection ID that depends on seed.
-func first(seed int) []byte {
+// initialPacket returns an Initial packet with a connection ID that depends on seed.
+func initialPacket(seed int) []byte {
 	packet := make([]byte, 1200)
 	copy(packet, []byte{initial, 0, 0, 0, 1, 8, byte(seed), byte(seed >> 8)})
 
 	return packet
 }
 
-// established returns a short header packet to an agent.
-func (f fixture) established(service view.ServiceID, agent view.Incarnation) []byte {
+// establishedPacket returns a short header packet to an agent.
+func (f fixture) establishedPacket(service view.ServiceID, agent view.Incarnation) []byte {
 	packet := make([]byte, 1+connid.Length+20)
 	packet[0] = 0x40
 	f.ids.Seal(packet[1:], service, agent, 7)
--- a/internal/coordination/forward/limits.go
+++ b/internal/coordination/forward/limits.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// burstWindow is the time whose share of packets may arrive at once.
+	// burstWindow is the time whose allowed packets may arrive at once.
 	burstWindow = 100 * time.Millisecond
 
 	// sourceSets and sourceWays give the size of the table of sources of a
-	// service: 256 entries, 4 KB. Only sources near their limit need one, and
-	// at 500 a second each, 40 of them use up a service limit of 20,000.
+	// service: 256 entries, 4 KB. Only sources near their limit need an entry,
+	// and at 500 packets a second each, 40 of them use up a service limit of
+	// 20,000.
 	sourceSets = 64
 	sourceWays = 4
 )
 
 // limiter bounds the first packets of one service. It is safe for concurrent
-// use. Services share no part of it, so a flood on one leaves the others their
-// whole limit.
+// use. Services share no limiter, so a flood on one does not reduce the limit of
+// another.
 type limiter struct {
 	limits  view.Limits
 	service *rate.Limiter // nil: unlimited
@@ -33,26 +34,26 @@
 }
 
 func newLimiter(limits view.Limits, seed [2]uint64) *limiter {
-	made := &limiter{limits: limits}
+	result := &limiter{limits: limits}
 
 	if limits.FirstPackets > 0 {
-		made.service = rate.NewLimiter(rate.Limit(limits.FirstPackets), burst(limits.FirstPackets))
+		result.service = rate.NewLimiter(rate.Limit(limits.FirstPackets), burst(limits.FirstPackets))
 	}
 
 	if limits.FirstPacketsPerSource > 0 {
-		made.sources = newSources(limits.FirstPacketsPerSource, seed)
+		result.sources = newSources(limits.FirstPacketsPerSource, seed)
 	}
 
-	return made
+	return result
 }
 
-// burst returns the packets that may arrive at once, at least 1.
+// burst returns the number of packets that may arrive at once, at least 1.
 func burst(perSecond uint32) int {
 	return max(1, int(time.Duration(perSecond)*burstWindow/time.Second))
 }
 
 // admit returns First if the packet is within both limits. The source is
-// tested first, so that packets above its limit cost the service nothing.
+// tested first, so that packets above its limit do not count for the service.
 func (l *limiter) admit(now time.Time, source netip.Addr) Reason {
 	if l.sources != nil && !l.sources.admit(now, source) {
 		return SourceLimited
@@ -65,13 +66,13 @@
 	return First
 }
 
-// sources is a set-associative table of token buckets. The library's limiters
-// would need one allocation for each spoofed source. When a set is full, the
-// bucket that is nearest to full is given up: a full one equals none.
+// sources is a set-associative table of token buckets. Limiters of package rate
+// would need one allocation for each spoofed source. A source without a bucket
+// replaces the one of its set that will be full first: a full bucket limits nothing.
 type sources struct {
-	interval int64 // nanoseconds for each packet
-	slack    int64 // nanoseconds of packets that may arrive at once
-	seed     [2]uint64
+	interval  int64 // nanoseconds for each packet
+	tolerance int64 // burst, in nanoseconds
+	seed      [2]uint64
 
 	mutex sync.Mutex
 	sets  [sourceSets][sourceWays]bucket
@@ -80,19 +81,19 @@
 // bucket is a token bucket in the form of the generic cell rate algorithm
 // (ITU-T I.371): one time instead of a level and the time of its last change.
 type bucket struct {
-	source uint64 // keyed hash; a caller cannot aim for the set of another
-	full   int64  // when the bucket is full again, in Unix nanoseconds
+	source uint64 // keyed hash, so that a caller cannot aim for the set of another
+	fullAt int64  // when the bucket is full again, in Unix nanoseconds
 }
 
 func newSources(perSecond uint32, seed [2]uint64) *sources {
 	interval := int64(time.Second) / int64(perSecond)
 
-	return &sources{interval: interval, slack: interval * int64(burst(perSecond)), seed: seed}
+	return &sources{interval: interval, tolerance: interval * int64(burst(perSecond)), seed: seed}
 }
 
 func (s *sources) admit(now time.Time, source netip.Addr) bool {
 	hash := s.hash(source)
-	time := now.UnixNano()
+	nowNanos := now.UnixNano()
 
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,7 +108,7 @@
 			break
 		}
 
-		if set[i].full < chosen.full {
+		if set[i].fullAt < chosen.fullAt {
 			chosen = &set[i]
 		}
 	}
@@ -116,18 +117,18 @@
 		*chosen = bucket{source: hash}
 	}
 
-	full := max(chosen.full, time) + s.interval
-	if full-time > s.slack {
+	fullAt := max(chosen.fullAt, nowNanos) + s.interval
+	if fullAt-nowNanos > s.tolerance {
 		return false
 	}
 
-	chosen.full = full
+	chosen.fullAt = fullAt
 
 	return true
 }
 
 // hash identifies a source: an IPv4 address, or the /64 network of an IPv6
-// address, which is what one caller is usually given.
+// address, which is usually assigned to one caller.
 func (s *sources) hash(source netip.Addr) uint64 {
 	source = source.Unmap()
 
--- a/internal/coordination/forward/path_test.go
+++ b/internal/coordination/forward/path_test.go
@@ -21,33 +21,33 @@
 	payloadLength = 1200
 )
 
-// large returns a view with the given agents behind services 1 to n, all of
+// largeContents returns a view with the given agents behind services 1 to n, all of
 // them with the same address.
-func large(services, agents int, data netip.AddrPort) view.Contents {
-	made := view.Contents{Position: view.Position{Index: 1}, Keys: secret}
+func largeContents(services, agents int, data netip.AddrPort) view.Contents {
+	result := view.Contents{Position: view.Position{Index: 1}, Keys: secret}
 	for i := range services {
-		made.Services = append(made.Services, view.Service{ID: view.ServiceID(i + 1), Buckets: 1024})
+		result.Services = append(result.Services, view.Service{ID: view.ServiceID(i + 1), Buckets: 1024})
 	}
 
 	for i := range agents {
-		made.Agents = append(made.Agents, view.Agent{
+		result.Agents = append(result.Agents, view.Agent{
 			Incarnation: view.Incarnation(i + 1), Service: view.ServiceID(i%services + 1), Data: data,
 			Weight: view.MaxWeight, State: view.Active,
 		})
 	}
 
-	return made
+	return result
 }
 
-// traffic returns packets of established flows to different agents. The last
-// two bytes of each name the service, in place of a socket for each service.
-func traffic(f fixture, services, agents int) [][]byte {
+// establishedPackets returns packets of established flows to different agents. The
+// last two bytes of each hold the service ID, in place of a socket for each service.
+func establishedPackets(f fixture, services, agents int) [][]byte {
 	packets := make([][]byte, 4096)
 	for i := range packets {
 		agent := i * 7919 % agents
 		service := view.ServiceID(agent%services + 1)
 
-		packets[i] = append(f.established(service, view.Incarnation(agent+1)), make([]byte, payloadLength)...)
+		packets[i] = append(f.establishedPacket(service, view.Incarnation(agent+1)), make([]byte, payloadLength)...)
 		packets[i] = packets[i][:payloadLength]
 		binary.BigEndian.PutUint16(packets[i][payloadLength-2:], uint16(service))
 	}
@@ -55,33 +55,33 @@
 	return packets
 }
 
-// loop is a batched receive-and-send loop that takes turns between bare
-// forwarding and the whole path, so that both meet the same conditions.
+// loop is a batched receive-and-send loop that alternates between bare forwarding
+// and the whole path, so that both are measured under the same conditions.
 type loop struct {
-	f         fixture
-	out, feed *udp.Socket
-	in        *udp.Socket
-	sink      netip.AddrPort
-	outbox    *udp.Outbox
-	feeder    *udp.Outbox
-	packets   [][]byte
-	turn      int
-	began     time.Time
-	spent     [2]time.Duration
-	count     [2]int
+	f          fixture
+	out, feed  *udp.Socket
+	in         *udp.Socket
+	sink       netip.AddrPort
+	outbox     *udp.Outbox
+	feeder     *udp.Outbox
+	packets    [][]byte
+	batches    int
+	batchStart time.Time
+	elapsed    [2]time.Duration
+	count      [2]int
 }
 
 func (l *loop) next() {
 	for i := range batchSize {
-		l.feeder.Add(l.feed, l.packets[(l.turn*batchSize+i)%len(l.packets)], l.in.Address())
+		l.feeder.Add(l.feed, l.packets[(l.batches*batchSize+i)%len(l.packets)], l.in.Address())
 	}
 
 	l.feeder.Flush()
-	l.began = time.Now()
+	l.batchStart = time.Now()
 }
 
 func (l *loop) handle(batch *udp.Batch) {
-	path := l.turn % 2
+	path := l.batches % 2
 
 	for i := range batch.Len() {
 		if path == 0 {
@@ -93,7 +93,7 @@
 		payload := batch.Payload(i)
 		service := view.ServiceID(binary.BigEndian.Uint16(payload[len(payload)-2:]))
 
-		decision := l.f.FromCaller(l.began, service, payload, batch.Source(i))
+		decision := l.f.FromCaller(l.batchStart, service, payload, batch.Source(i))
 		if decision.Action == forward.Send {
 			framed := batch.Framed(i)
 			l.f.Seal(framed, &decision.Header)
@@ -103,9 +103,9 @@
 
 	l.outbox.Flush()
 
-	l.spent[path] += time.Since(l.began)
+	l.elapsed[path] += time.Since(l.batchStart)
 	l.count[path] += batch.Len()
-	l.turn++
+	l.batches++
 }
 
 // BenchmarkPath compares the path of a datagram of an established flow
@@ -132,8 +132,8 @@
 		in: socket(), out: socket(), feed: socket(), sink: socket().Address(),
 		outbox: udp.NewOutbox(batchSize), feeder: udp.NewOutbox(batchSize),
 	}
-	l.f = newFixture(b, func(c *view.Contents) { *c = large(services, agents, l.sink) })
-	l.packets = traffic(l.f, services, agents)
+	l.f = newFixture(b, func(c *view.Contents) { *c = largeContents(services, agents, l.sink) })
+	l.packets = establishedPackets(l.f, services, agents)
 
 	pool := udp.NewPool(1, udp.BatchConfig{Size: batchSize, Length: 1500, Headroom: datagram.HeaderLength})
 
@@ -143,7 +143,7 @@
 	is.New(b).NoErr(l.in.Serve(pool, func(batch *udp.Batch) {
 		l.handle(batch)
 
-		if l.turn >= 2*b.N {
+		if l.batches >= 2*b.N {
 			_ = l.in.Stop()
 
 			return
@@ -153,8 +153,8 @@
 	}))
 	b.StopTimer()
 
-	bare := float64(l.spent[0].Nanoseconds()) / float64(max(1, l.count[0]))
-	path := float64(l.spent[1].Nanoseconds()) / float64(max(1, l.count[1]))
+	bare := float64(l.elapsed[0].Nanoseconds()) / float64(max(1, l.count[0]))
+	path := float64(l.elapsed[1].Nanoseconds()) / float64(max(1, l.count[1]))
 
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(bare, "bare-ns/datagram")
@@ -163,17 +163,17 @@
 	is.New(b).Equal(l.f.balancer.Counts()[forward.Direct], uint64(l.count[1]))
 }
 
-// BenchmarkSteps reports the decisions apart from sockets at the target size.
+// BenchmarkSteps measures the decisions without sockets at the target size.
 func BenchmarkSteps(b *testing.B) {
 	const services, agents = 6700, 26000
 
 	f := newFixture(b, func(c *view.Contents) {
-		*c = large(services, agents, peer)
+		*c = largeContents(services, agents, peer)
 		for i := range c.Services {
 			c.Services[i].Limits = view.Limits{FirstPackets: 1 << 30, FirstPacketsPerSource: 1 << 20}
 		}
 	})
-	packets := traffic(f, services, agents)
+	packets := establishedPackets(f, services, agents)
 	reply := f.sealed(datagram.Header{Kind: datagram.Reply, Service: 1, Agent: 1, Caller: caller}, "reply")
 	firsts := make([][]byte, 4096)
 	agent := newAgent(b, nil)
@@ -182,7 +182,7 @@
 	}, "x")
 
 	for i := range firsts {
-		firsts[i] = first(i)
+		firsts[i] = initialPacket(i)
 	}
 
 	steps := []struct {
@@ -218,7 +218,7 @@
 // Guards against an allocation in the decision on any datagram.
 func TestAllocations(t *testing.T) {
 	f, agent := newFixture(t, nil), newAgent(t, nil)
-	packet, opening := f.established(crew, 1), first(1)
+	packet, firstPacket := f.establishedPacket(crew, 1), initialPacket(1)
 	buffer := make([]byte, 100)
 	received := f.sealed(datagram.Header{
 		Kind: datagram.Forward, Service: crew, Agent: 1, Balancer: self, Caller: caller,
@@ -228,7 +228,7 @@
 	is.New(t).Equal(testing.AllocsPerRun(100, func() {
 		decision := f.FromCaller(start, crew, packet, caller)
 		f.Seal(buffer, &decision.Header)
-		f.FromCaller(start, crew, opening, caller)
+		f.FromCaller(start, crew, firstPacket, caller)
 		f.FromAgent(start, received, peer)
 		agent.Receive(start, received, peer)
 		header, _, _ := agent.Reply(start, caller)
--- a/internal/coordination/forward/paths.go
+++ b/internal/coordination/forward/paths.go
@@ -8,63 +8,65 @@
 )
 
 const (
-	// heardTime is how long a balancer that was heard from gets replies.
-	heardTime = time.Second
+	// activeTimeout is how long a balancer gets replies after its last datagram.
+	activeTimeout = time.Second
 
-	// callerSlots is the number of callers whose last path is remembered, as a
-	// table without collision handling: a collision costs one choice.
+	// callerSlots is the size of the table with the last balancer of each caller.
+	// Callers with the same slot share an entry, which only affects the choice of
+	// a balancer.
 	callerSlots = 4096
 )
 
 // path is a balancer that replies can take.
 type path struct {
-	incarnation view.Incarnation
-	address     netip.AddrPort
-	heard       int64 // Unix nanoseconds; 0 for never
-	active      bool  // in the list of active paths
-	draining    bool
+	incarnation  view.Incarnation
+	address      netip.AddrPort
+	lastReceived int64 // Unix nanoseconds; 0 for never
+	active       bool  // in the list of active paths
+	draining     bool
 }
 
-// paths selects a balancer for each reply. It belongs to one goroutine.
+// paths selects a balancer for each reply. It is not safe for concurrent use.
 type paths struct {
 	all            []path
-	places         map[view.Incarnation]int32
-	active         []int32 // places of the paths heard from lately
+	indexes        map[view.Incarnation]int32
+	active         []int32 // indexes of the paths with a recent datagram
 	cursor         int
-	fallbacks      []int32 // places of the paths used while none is active
+	fallbacks      []int32 // indexes of the paths used while none is active
 	fallbackCursor int
-	last           [callerSlots]view.Incarnation
+	lastBalancers  [callerSlots]view.Incarnation
 }
 
-func newPaths() *paths { return &paths{places: make(map[view.Incarnation]int32)} }
+func newPaths() *paths { return &paths{indexes: make(map[view.Incarnation]int32)} }
 
-// apply takes the balancers of a view. What was heard from those that stay is
-// kept.
+// apply replaces the paths by the balancers of a view. Balancers that stay keep
+// the time of their last datagram.
 func (p *paths) apply(next *view.View) {
-	old, places := p.all, p.places
-	*p = paths{places: make(map[view.Incarnation]int32, len(next.Balancers())), last: p.last}
+	old, indexes := p.all, p.indexes
+	*p = paths{indexes: make(map[view.Incarnation]int32, len(next.Balancers())), lastBalancers: p.lastBalancers}
 
 	for _, balancer := range next.Balancers() {
-		made := path{
+		updated := path{
 			incarnation: balancer.Incarnation, address: balancer.Data,
 			draining: balancer.State == view.Draining,
 		}
-		if place, ok := places[balancer.Incarnation]; ok {
-			made.heard = old[place].heard
+		if index, ok := indexes[balancer.Incarnation]; ok {
+			updated.lastReceived = old[index].lastReceived
 		}
 
-		p.add(made)
+		p.add(updated)
 	}
 
 	p.listFallbacks()
 }
 
-// listFallbacks selects the paths for times when no balancer was heard from.
+// listFallbacks selects the paths used while none is active. Draining balancers
+// are used only if there are no others.
 func (p *paths) listFallbacks() {
 	for _, draining := range []bool{false, true} {
-		for place := range p.all {
-			if p.all[place].draining == draining {
-				p.fallbacks = append(p.fallbacks, int32(place))
+		for index := range p.all {
+			if p.all[index].draining == draining {
+				p.fallbacks = append(p.fallbacks, int32(index))
 			}
 		}
 
@@ -74,64 +76,65 @@
 	}
 }
 
-func (p *paths) add(made path) {
-	place := int32(len(p.all))
-	p.all = append(p.all, made)
-	p.places[made.incarnation] = place
+func (p *paths) add(added path) {
+	index := int32(len(p.all))
+	p.all = append(p.all, added)
+	p.indexes[added.incarnation] = index
 
-	if made.heard != 0 {
-		p.activate(place)
+	if added.lastReceived != 0 {
+		p.activate(index)
 	}
 }
 
-func (p *paths) activate(place int32) {
-	path := &p.all[place]
-	if !path.active && !path.draining {
-		path.active = true
-		p.active = append(p.active, place)
+func (p *paths) activate(index int32) {
+	entry := &p.all[index]
+	if !entry.active && !entry.draining {
+		entry.active = true
+		p.active = append(p.active, index)
 	}
 }
 
-// hear records a datagram from a balancer. One that the view does not have gets
-// no reply: its address would come from the source of the datagram, and a
-// replayed datagram has the source that its sender chose.
-func (p *paths) hear(now time.Time, balancer view.Incarnation) {
-	if place, ok := p.places[balancer]; ok {
-		p.all[place].heard = now.UnixNano()
-		p.activate(place)
+// recordReceived records a datagram from a balancer. A balancer that is not in the
+// view gets no replies: its address would come from the source of the datagram,
+// and whoever replays a datagram chooses its source.
+func (p *paths) recordReceived(now time.Time, balancer view.Incarnation) {
+	if index, ok := p.indexes[balancer]; ok {
+		p.all[index].lastReceived = now.UnixNano()
+		p.activate(index)
 	}
 }
 
 // next returns the path of a reply: of the next two paths in rotation, the one
-// heard from more recently, and not the one that the last reply to the caller
-// took, unless there is no other. A silent path soon loses every comparison.
+// with the more recent datagram, and not the path of the last reply to the caller
+// unless there is no other. A silent balancer is thus no longer chosen long before
+// its timeout.
 func (p *paths) next(now time.Time, caller uint64) (path, bool) {
-	last := &p.last[caller%callerSlots]
+	lastBalancer := &p.lastBalancers[caller%callerSlots]
 
-	first, ok := p.rotate(now, *last)
+	first, ok := p.rotate(now, *lastBalancer)
 	if !ok {
-		return p.fallback(last)
+		return p.fallback(lastBalancer)
 	}
 
-	// The second path is the first of the next reply. Moving on by two would pair
-	// the same paths for ever.
+	// The second path is the first of the next reply. Advancing by two would
+	// always compare the same pairs.
 	position := p.cursor
-	second, ok := p.rotate(now, *last)
+	second, ok := p.rotate(now, *lastBalancer)
 	p.cursor = position
 
-	if ok && p.all[second].heard > p.all[first].heard {
+	if ok && p.all[second].lastReceived > p.all[first].lastReceived {
 		first = second
 	}
 
-	*last = p.all[first].incarnation
+	*lastBalancer = p.all[first].incarnation
 
 	return p.all[first], true
 }
 
-// rotate returns the place of the next active path, other than the avoided one
-// if there are several. Paths that fell silent leave the rotation.
+// rotate returns the index of the next active path, other than the avoided one
+// if there are several. It removes paths whose balancer is silent.
 func (p *paths) rotate(now time.Time, avoided view.Incarnation) (int32, bool) {
-	oldest := now.Add(-heardTime).UnixNano()
+	oldest := now.Add(-activeTimeout).UnixNano()
 
 	for skipped := false; len(p.active) > 0; {
 		p.cursor++
@@ -139,37 +142,38 @@
 			p.cursor = 0
 		}
 
-		place := p.active[p.cursor]
-		path := &p.all[place]
+		index := p.active[p.cursor]
+		entry := &p.all[index]
 
-		if path.heard < oldest {
+		if entry.lastReceived < oldest {
 			p.deactivate(p.cursor)
 
 			continue
 		}
 
-		if path.incarnation == avoided && len(p.active) > 1 && !skipped {
+		if entry.incarnation == avoided && len(p.active) > 1 && !skipped {
 			skipped = true
 
 			continue
 		}
 
-		return place, true
+		return index, true
 	}
 
 	return 0, false
 }
 
 func (p *paths) deactivate(position int) {
-	final := len(p.active) - 1
+	last := len(p.active) - 1
 
 	p.all[p.active[position]].active = false
-	p.active[position] = p.active[final]
-	p.active = p.active[:final]
+	p.active[position] = p.active[last]
+	p.active = p.active[:last]
 }
 
-// fallback rotates over the balancers of the view.
-func (p *paths) fallback(last *view.Incarnation) (path, bool) {
+// fallback returns the next fallback path, and not the last one of the caller
+// unless there is no other.
+func (p *paths) fallback(lastBalancer *view.Incarnation) (path, bool) {
 	if len(p.fallbacks) == 0 {
 		return path{}, false
 	}
@@ -177,13 +181,13 @@
 	for range 2 {
 		p.fallbackCursor = (p.fallbackCursor + 1) % len(p.fallbacks)
 
-		if p.all[p.fallbacks[p.fallbackCursor]].incarnation != *last {
+		if p.all[p.fallbacks[p.fallbackCursor]].incarnation != *lastBalancer {
 			break
 		}
 	}
 
 	chosen := p.all[p.fallbacks[p.fallbackCursor]]
-	*last = chosen.incarnation
+	*lastBalancer = chosen.incarnation
 
 	return chosen, true
 }
--- a/internal/coordination/forward/skips.go
+++ b/internal/coordination/forward/skips.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// skipTime bounds how long first packets pass over an agent. It equals the
-	// lease time, after which a dead agent leaves the view anyway.
-	skipTime = 3 * time.Second
+	// skipDuration bounds how long first packets skip an agent. It equals the
+	// lease TTL, after which a dead agent leaves the view anyway.
+	skipDuration = 3 * time.Second
 
-	// maxSkips bounds the memory. Further agents are not skipped.
+	// maxSkips bounds the memory of the set. Further agents are not skipped.
 	maxSkips = 4096
 
 	// maxRanks bounds the search for an agent that is not skipped.
 	maxRanks = 8
 )
 
-// skips is the set of agents that first packets pass over. It is safe for
-// concurrent use.
+// skips is the set of agents that first packets skip. It is safe for concurrent
+// use.
 type skips struct {
-	count atomic.Int32 // spares readers the lock while nothing is skipped
+	count atomic.Int32 // lets readers avoid the lock while the set is empty
 	mutex sync.Mutex
 	until map[view.Incarnation]time.Time
 }
@@ -39,7 +39,7 @@
 	}
 
 	if len(s.until) < maxSkips {
-		s.until[agent] = now.Add(skipTime)
+		s.until[agent] = now.Add(skipDuration)
 		s.count.Store(int32(len(s.until)))
 	}
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-// clear forgets all agents, since a changed view knows better.
+// clear removes all agents, since a new view has newer information about them.
 func (s *skips) clear() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
