--- a/internal/coordination/lease/expiry_limiter.go
+++ b/internal/coordination/lease/expiry_limiter.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// pace limits the expiries of one mass expiry.
-type pace struct {
-	began     time.Time
+// expiryLimiter limits the rate at which leases run out in a mass expiry.
+type expiryLimiter struct {
+	start     time.Time
 	perSecond int
-	second    int // counted from began
-	taken     int // in this second
+	second    int // counted from start
+	used      int // in this second
 }
 
-// updatePace starts a mass expiry when more than half of the leases are late,
+// updateLimiter starts a mass expiry when more than half of the leases are late,
 // and ends it when none is.
-func (t *Table) updatePace() {
-	late := t.late()
+func (t *Table) updateLimiter() {
+	late := t.countLate()
 
 	switch {
 	case late == 0:
-		t.pace = nil
-	case t.pace == nil && 2*late > t.order.Len():
-		t.pace = &pace{began: t.now, perSecond: max(t.order.Len()*MassExpiryPercentPerSecond/100, 1)}
+		t.limiter = nil
+	case t.limiter == nil && 2*late > t.order.Len():
+		t.limiter = &expiryLimiter{start: t.now, perSecond: max(t.order.Len()*MassExpiryPercentPerSecond/100, 1)}
 	}
 }
 
-func (t *Table) late() int {
+func (t *Table) countLate() int {
 	threshold := t.ttl * lateNumerator / lateDenominator
 	count := 0
 
@@ -39,21 +39,22 @@
 }
 
 // take reports whether one more lease may expire in this second.
-func (p *pace) take(now time.Time) bool {
-	if p == nil {
+func (l *expiryLimiter) take(now time.Time) bool {
+	if l == nil {
 		return true
 	}
 
-	// Unused expiries of a second are void: leases run out in one burst.
-	if second := int(now.Sub(p.began) / time.Second); second != p.second {
-		p.second, p.taken = second, 0
+	// Unused expiries do not carry over to the next second: leases run out in
+	// one burst.
+	if second := int(now.Sub(l.start) / time.Second); second != l.second {
+		l.second, l.used = second, 0
 	}
 
-	if p.taken >= p.perSecond {
+	if l.used >= l.perSecond {
 		return false
 	}
 
-	p.taken++
+	l.used++
 
 	return true
 }
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -10,9 +10,9 @@
 //		// Propose an Expire command to the catalog.
 //	}
 //
-// The table stays in memory and is never logged. It has no clock: every
-// method that needs the time takes it, and a time before an earlier one
-// counts as the earlier one. One goroutine owns a Table.
+// The table stays in memory and is never written to the log. It has no clock:
+// every method that needs the time takes it, and a time before that of an earlier
+// call counts as the earlier time. One goroutine owns a Table.
 package lease
 
 import (
@@ -34,11 +34,12 @@
 	lateNumerator   = 2
 	lateDenominator = 3
 
-	// MassExpiryPercentPerSecond is the pace at which leases expire, in
-	// percent of all, while more than half of them are late. So many members
-	// hardly fail at once; more likely the controller or its network is at
-	// fault. At 5% a second a pause of two seconds removes a tenth of the
-	// members instead of all, and members that did fail are gone after 20 s.
+	// MassExpiryPercentPerSecond is the rate at which leases expire, in
+	// percent of all, from when more than half of them are late until none is.
+	// So many members rarely fail at once: more likely the controller or its
+	// network is at fault. At 5% a second a pause of two seconds removes a
+	// tenth of the members instead of all, and members that did fail are gone
+	// after 20 s.
 	MassExpiryPercentPerSecond = 5
 )
 
@@ -50,7 +51,7 @@
 	Load        uint8         // coarse hint, 0 to 100
 }
 
-// Status is what is known about a member.
+// Status holds what the last renewal of a member reported.
 type Status struct {
 	Position view.Position // zero before the first renewal
 	Since    time.Time     // when the position came into force
@@ -66,11 +67,11 @@
 
 // Table holds the leases of one environment.
 type Table struct {
-	ttl   time.Duration
-	now   time.Time
-	byID  map[view.Incarnation]*list.Element
-	order *list.List // of *entry, earliest start first
-	pace  *pace      // nil unless a mass expiry is under way
+	ttl     time.Duration
+	now     time.Time
+	byID    map[view.Incarnation]*list.Element
+	order   *list.List     // of *entry, earliest start first
+	limiter *expiryLimiter // nil unless a mass expiry is under way
 }
 
 // New returns an empty table whose leases last for ttl.
@@ -102,7 +103,7 @@
 }
 
 // Renew extends the leases of a batch and returns the incarnations that have
-// none. Their processes announce again.
+// none. Their processes must announce themselves again.
 func (t *Table) Renew(now time.Time, renewals []Renewal) []view.Incarnation {
 	t.advance(now)
 
@@ -128,18 +129,18 @@
 	return unknown
 }
 
-// Expired removes and returns the leases that have run out, earliest first. A
-// mass expiry is paced; what is held back comes with later calls, or not at
-// all if it is renewed by then.
+// Expired removes and returns the leases that have run out, earliest first. The
+// rate of a mass expiry is limited: leases beyond it expire in later calls, unless
+// they are renewed by then.
 func (t *Table) Expired(now time.Time) []view.Incarnation {
 	t.advance(now)
-	t.updatePace()
+	t.updateLimiter()
 
 	var expired []view.Incarnation
 
 	for front := t.order.Front(); front != nil; front = t.order.Front() {
 		oldest := front.Value.(*entry)
-		if t.now.Sub(oldest.start) < t.ttl || !t.pace.take(t.now) {
+		if t.now.Sub(oldest.start) < t.ttl || !t.limiter.take(t.now) {
 			break
 		}
 
@@ -154,7 +155,7 @@
 // does not know the renewals that its predecessor received.
 func (t *Table) Reset(now time.Time) {
 	t.advance(now)
-	t.pace = nil
+	t.limiter = nil
 
 	for element := t.order.Front(); element != nil; element = element.Next() {
 		element.Value.(*entry).start = t.now
@@ -169,7 +170,7 @@
 }
 
 // Reconcile makes the table hold a lease for each of the members and for
-// nothing else. Existing leases keep their time. A member whose expiry was
+// nothing else. Existing leases keep their expiry time. A member whose expiry was
 // proposed but lost gets a lease again, so that its expiry is tried again.
 func (t *Table) Reconcile(now time.Time, members []view.Incarnation) error {
 	known := make(map[view.Incarnation]bool, len(members))
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// Status returns what is known about a member.
+// Status returns the status of a member, and false if it has no lease.
 func (t *Table) Status(incarnation view.Incarnation) (Status, bool) {
 	element, ok := t.byID[incarnation]
 	if !ok {
@@ -224,8 +225,8 @@
 	}
 }
 
-// restart moves a lease to the end: all leases last equally long, so the
-// order of their starts is the order in which they run out.
+// restart starts the TTL of a lease again and moves the lease to the back: all
+// leases have the same TTL, so they run out in the order of their starts.
 func (t *Table) restart(element *list.Element) {
 	element.Value.(*entry).start = t.now
 	t.order.MoveToBack(element)
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -19,8 +19,8 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// granted returns a table with leases for the incarnations 1 to count.
-func granted(t testing.TB, count int) *lease.Table {
+// newTable returns a table with leases for the incarnations 1 to count.
+func newTable(t testing.TB, count int) *lease.Table {
 	t.Helper()
 
 	table := lease.New(ttl)
@@ -51,15 +51,15 @@
 // that are not told to announce again.
 func TestExpiry(t *testing.T) {
 	is := is.New(t)
-	table := granted(t, 4)
+	table := newTable(t, 4)
 
 	is.Equal(len(table.Renew(at(2), renewals(1, 2, 3))), 0)
 	is.Equal(len(table.Expired(at(2.9))), 0)
 	is.Equal(table.Expired(at(3)), []view.Incarnation{4})
-	is.Equal(len(table.Expired(at(3))), 0) // given out once
+	is.Equal(len(table.Expired(at(3))), 0) // returned only once
 	is.Equal(table.Renew(at(4), renewals(4, 1, 2, 3, 9)), []view.Incarnation{4, 9})
 
-	table.Renew(at(1), renewals(1)) // a time that goes back shortens no lease
+	table.Renew(at(1), renewals(1)) // a clock that steps back shortens no lease
 	is.Equal(len(table.Expired(at(6.9))), 0)
 
 	table.Drop(1)
@@ -74,17 +74,17 @@
 // predecessor.
 func TestReset(t *testing.T) {
 	is := is.New(t)
-	table := granted(t, 10)
+	table := newTable(t, 10)
 
 	table.Reset(at(2.9))
 	is.Equal(len(table.Expired(at(5.8))), 0)
 	is.True(len(table.Expired(at(5.9))) > 0)
 }
 
-// Guards against a pause of the controller that removes its whole fleet.
+// Guards against a pause of the controller that expires all members.
 func TestMassExpiryIsPaced(t *testing.T) {
 	is := is.New(t)
-	table := granted(t, 1000)
+	table := newTable(t, 1000)
 	random := rand.New(rand.NewPCG(1, 0))
 
 	for _, incarnation := range members(1000) { // renewals are spread over a second, then stop
@@ -99,14 +99,15 @@
 	is.True(expired > 0)
 	is.True(expired <= 1000*lease.MassExpiryPercentPerSecond/100*3)
 
-	for _, incarnation := range members(1000) { // renewals are back
+	for _, incarnation := range members(1000) { // renewals resume
 		table.Renew(at(5), renewals(incarnation))
 	}
 
 	is.Equal(table.Len(), 1000-expired)
 	is.Equal(len(table.Expired(at(5))), 0)
 
-	// A single failure in the recovered fleet is not held back.
+	// After the recovery, failures of less than half of the members are not
+	// delayed.
 	var rest []view.Incarnation
 	for len(rest) < 900 {
 		rest = append(rest, view.Incarnation(1000-len(rest)))
@@ -116,12 +117,12 @@
 	is.True(len(table.Expired(at(8))) > 200)
 }
 
-// Guards against members that failed and stay in the view for good.
+// Guards against failed members that stay in the view forever.
 func TestMassExpiryEnds(t *testing.T) {
 	is := is.New(t)
 
 	for _, count := range []int{1, 2, 7, 1000} {
-		table := granted(t, count)
+		table := newTable(t, count)
 		for second := range 30 {
 			table.Expired(at(float64(second)))
 		}
@@ -133,23 +134,23 @@
 // Guards against a status that claims a position that a member does not have.
 func TestStatus(t *testing.T) {
 	is := is.New(t)
-	table := granted(t, 3)
-	held := view.Position{Generation: 1, Index: 7}
+	table := newTable(t, 3)
+	position := view.Position{Generation: 1, Index: 7}
 
 	table.Renew(at(1), []lease.Renewal{
-		{Incarnation: 1, Position: held, InForce: time.Second, Load: 200},
+		{Incarnation: 1, Position: position, InForce: time.Second, Load: 200},
 		{Incarnation: 2, Position: view.Position{Generation: 1, Index: 6}},
 	})
 
 	status, ok := table.Status(1)
 	is.True(ok)
-	is.Equal(status, lease.Status{Position: held, Since: at(0), Renewed: at(1), Load: 100})
+	is.Equal(status, lease.Status{Position: position, Since: at(0), Renewed: at(1), Load: 100})
 
-	silent, ok := table.Status(3)
+	unrenewed, ok := table.Status(3)
 	is.True(ok)
-	is.True(silent.Renewed.IsZero()) // nothing is known before the first renewal
+	is.True(unrenewed.Renewed.IsZero()) // nothing is known before the first renewal
 
-	holding, total := table.InForce(held)
+	holding, total := table.InForce(position)
 	is.Equal([]int{holding, total}, []int{1, 3})
 
 	_, ok = table.Status(9)
@@ -166,16 +167,16 @@
 	is.True(errors.As(err, &failure))
 	is.Equal(failure.Kind(), lease.KindFull)
 	is.Equal(table.Len(), lease.MaxLeases)
-	is.NoErr(table.Grant(start, 1)) // known already
+	is.NoErr(table.Grant(start, 1)) // has a lease already
 }
 
-// Guards against lists and indexes that disagree after any sequence of calls:
-// the table is compared with a map of the ends of leases.
+// Guards against a list and an index that disagree after any sequence of calls:
+// the table is compared with a map of expiry times.
 func TestAgainstModel(t *testing.T) {
 	soak.Run(t, 30, func(t *testing.T, seed uint64) {
 		is := is.New(t)
 		random := rand.New(rand.NewPCG(seed, 0))
-		table, ends, now := lease.New(ttl), map[view.Incarnation]time.Time{}, start
+		table, expiries, now := lease.New(ttl), map[view.Incarnation]time.Time{}, start
 
 		for range 2000 {
 			incarnation := view.Incarnation(random.IntN(200))
@@ -184,25 +185,25 @@
 			switch random.IntN(10) {
 			case 0, 1, 2:
 				is.NoErr(table.Grant(now, incarnation))
-				ends[incarnation] = now.Add(ttl)
+				expiries[incarnation] = now.Add(ttl)
 			case 3:
 				table.Drop(incarnation)
-				delete(ends, incarnation)
+				delete(expiries, incarnation)
 			case 4:
 				for _, expired := range table.Expired(now) {
-					is.True(!ends[expired].After(now)) // no lease ends early
-					delete(ends, expired)
+					is.True(!expiries[expired].After(now)) // no lease ends early
+					delete(expiries, expired)
 				}
 			default:
-				_, known := ends[incarnation]
+				_, known := expiries[incarnation]
 				is.Equal(len(table.Renew(now, renewals(incarnation))) == 0, known)
 
 				if known {
-					ends[incarnation] = now.Add(ttl)
+					expiries[incarnation] = now.Add(ttl)
 				}
 			}
 
-			is.Equal(table.Len(), len(ends))
+			is.Equal(table.Len(), len(expiries))
 		}
 	})
 }
@@ -211,7 +212,7 @@
 
 // One second of the leader: every member renews once, ten checks for expiries.
 func BenchmarkSecondAtTargetSize(b *testing.B) {
-	table, now := granted(b, targetMembers), start
+	table, now := newTable(b, targetMembers), start
 	batch := renewals(members(targetMembers)...)
 
 	for b.Loop() {
@@ -224,7 +225,7 @@
 }
 
 func BenchmarkExpiredWhileAllAreLate(b *testing.B) {
-	table := granted(b, targetMembers)
+	table := newTable(b, targetMembers)
 	for b.Loop() {
 		table.Expired(at(2.5))
 	}
