--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -120,14 +120,14 @@
 // Decide tells whether the request of an ended attempt may be tried again. It
 // takes a token only if everything else allows the retry.
 func (b *Budget) Decide(now time.Time, attempt Attempt, random *rand.Rand) Decision {
-	allowed := ReasonNotRun
+	reason := ReasonNotRun
 
 	switch {
 	case attempt.Outcome == Answered:
 		return Decision{Reason: ReasonAnswered}
 	case attempt.Outcome == NotRun:
 	case attempt.Idempotent:
-		allowed = ReasonIdempotence
+		reason = ReasonIdempotence
 	default:
 		return Decision{Reason: ReasonMayHaveRun}
 	}
@@ -145,7 +145,7 @@
 		return Decision{Reason: ReasonBudget}
 	}
 
-	return Decision{Retry: true, After: after, Reason: allowed}
+	return Decision{Retry: true, After: after, Reason: reason}
 }
 
 // backoff returns a uniformly distributed delay below a limit that doubles
--- a/internal/coordination/retry/retry_test.go
+++ b/internal/coordination/retry/retry_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Unix(1000, 0)
 
-// TestDecide guards against a retry that could run a request twice, that comes
-// too late or that nobody paid for.
+// TestDecide guards against a retry that could run a request twice, that cannot
+// meet the deadline or that exceeds the attempts or the budget.
 func TestDecide(t *testing.T) {
 	base := retry.Attempt{Number: 1, Outcome: retry.NotRun, Deadline: start.Add(time.Second)}
 	cases := map[string]struct {
@@ -23,9 +23,9 @@
 		want   retry.Reason
 	}{
 		"proven not run": {func(*retry.Attempt) {}, 1, retry.ReasonNotRun},
-		"idempotent":     {ended(retry.Unknown, true), 1, retry.ReasonIdempotence},
-		"may have run":   {ended(retry.Unknown, false), 1, retry.ReasonMayHaveRun},
-		"answered":       {ended(retry.Answered, true), 1, retry.ReasonAnswered},
+		"idempotent":     {withOutcome(retry.Unknown, true), 1, retry.ReasonIdempotence},
+		"may have run":   {withOutcome(retry.Unknown, false), 1, retry.ReasonMayHaveRun},
+		"answered":       {withOutcome(retry.Answered, true), 1, retry.ReasonAnswered},
 		"too late":       {func(a *retry.Attempt) { a.Needed = 2 * time.Second }, 1, retry.ReasonDeadline},
 		"too often":      {func(a *retry.Attempt) { a.Number = 4 }, 1, retry.ReasonAttempts},
 		"no budget":      {func(*retry.Attempt) {}, 0, retry.ReasonBudget},
@@ -44,7 +44,7 @@
 	}
 }
 
-func ended(outcome retry.Outcome, idempotent bool) func(a *retry.Attempt) {
+func withOutcome(outcome retry.Outcome, idempotent bool) func(a *retry.Attempt) {
 	return func(a *retry.Attempt) { a.Outcome, a.Idempotent = outcome, idempotent }
 }
 
@@ -64,10 +64,10 @@
 		for range requests {
 			budget.Deposit()
 
-			for number, again := 1, true; again; number++ {
+			for number, retrying := 1, true; retrying; number++ {
 				attempts++
 				attempt := retry.Attempt{Number: number, Outcome: retry.NotRun, Deadline: start.Add(time.Minute)}
-				again = budget.Decide(start, attempt, random).Retry
+				retrying = budget.Decide(start, attempt, random).Retry
 			}
 		}
 
@@ -76,7 +76,8 @@
 	})
 }
 
-// TestBackoff guards against retries at the same moment and without limit.
+// TestBackoff guards against retries without jitter, and against delays above the
+// limit.
 func TestBackoff(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 0))
