--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -102,39 +102,39 @@
 // Owner returns the agent of a new flow. It reports false if the service is
 // unknown or has no eligible agent.
 func (t *Table) Owner(service view.ServiceID, hash uint64) (view.Incarnation, bool) {
-	buckets := t.bucketsOf(service)
-	if buckets == nil {
+	serviceBuckets := t.bucketsOf(service)
+	if serviceBuckets == nil {
 		return 0, false
 	}
 
-	owner := buckets.owners[hash&buckets.mask]
+	owner := serviceBuckets.owners[hash&serviceBuckets.mask]
 	if owner == noOwner {
 		return 0, false
 	}
 
-	return buckets.members[owner].incarnation, true
+	return serviceBuckets.members[owner].incarnation, true
 }
 
 // Ranked returns the agent of a new flow when the agents of all lower ranks
 // are skipped. Rank 0 is the owner. It computes the rank from the scores,
 // in time proportional to rank and number of agents, without allocating.
 func (t *Table) Ranked(service view.ServiceID, hash uint64, rank int) (view.Incarnation, bool) {
-	buckets := t.bucketsOf(service)
-	if buckets == nil || rank < 0 || rank >= len(buckets.members) {
+	serviceBuckets := t.bucketsOf(service)
+	if serviceBuckets == nil || rank < 0 || rank >= len(serviceBuckets.members) {
 		return 0, false
 	}
 
-	return buckets.ranked(hash&buckets.mask, rank), true
+	return serviceBuckets.ranked(hash&serviceBuckets.mask, rank), true
 }
 
 // Ranks returns the number of agents of a service that get new flows.
 func (t *Table) Ranks(service view.ServiceID) int {
-	buckets := t.bucketsOf(service)
-	if buckets == nil {
+	serviceBuckets := t.bucketsOf(service)
+	if serviceBuckets == nil {
 		return 0
 	}
 
-	return len(buckets.members)
+	return len(serviceBuckets.members)
 }
 
 // member is an agent that gets new flows.
