--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -67,7 +67,7 @@
 	random        *rand.Rand
 	siblings      []*sibling
 	byIncarnation map[view.Incarnation]*sibling
-	meanPass      float64 // mean pass of the siblings
+	meanPass      float64 // pass of a sibling that received exactly its share
 }
 
 // New returns a picker without siblings. The seed sets the sibling at which its
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -30,16 +30,16 @@
 	return picker
 }
 
-// spread places requests that end at once and returns how many each sibling got.
+// spread places requests that end immediately and returns how many each sibling got.
 func spread(
-	p *placement.Picker, now time.Time, count int, end func(view.Incarnation) placement.Outcome,
+	p *placement.Picker, now time.Time, count int, outcomeOf func(view.Incarnation) placement.Outcome,
 ) map[view.Incarnation]int {
 	placed := make(map[view.Incarnation]int)
 
 	for range count {
 		if incarnation, ok := p.Pick(now); ok {
 			placed[incarnation]++
-			p.Observe(now, incarnation, end(incarnation))
+			p.Observe(now, incarnation, outcomeOf(incarnation))
 		}
 	}
 
