--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -50,7 +50,7 @@
 	running   int // slots taken
 	feeds     int // connections taken by feeds
 	draining  bool
-	lastEvent time.Time // of the last event
+	lastEvent time.Time // zero before the first event
 }
 
 // New returns a scheduler without requests.
--- a/internal/coordination/admission/choose.go
+++ b/internal/coordination/admission/choose.go
@@ -98,7 +98,7 @@
 }
 
 // waitByShare returns the time in which the class earns enough credit for the
-// requests of its queue.
+// requests queued before the last one.
 func (s *Scheduler) waitByShare(c *class) time.Duration {
 	if c.settings.MinSharePercent == 0 {
 		return math.MaxInt64
