--- a/internal/coordination/forward/balancer_test.go
+++ b/internal/coordination/forward/balancer_test.go
@@ -35,10 +35,11 @@
 	assertDropped(t, f.FromCaller(start, crew, initialPacket(1)[:1199], caller), forward.NotFirst)
 	assertDropped(t, f.FromCaller(start, 3, initialPacket(1), caller), forward.NoAgent)
 	assertDropped(t, f.FromCaller(start, 4, initialPacket(1), caller), forward.NoService)
-	assertDropped(t, forward.NewBalancer(self, 1).Worker().FromCaller(start, crew, initialPacket(1), caller), forward.NoView)
+	assertDropped(t,
+		forward.NewBalancer(self, 1).Worker().FromCaller(start, crew, initialPacket(1), caller), forward.NoView)
 }
 
-// Guards against first packets that go on being sent to an agent that refused
+// Guards against first packets that are still sent to an agent that refused
 // or was replaced, and against skipping it for longer than 3 s or a new view.
 func TestSkips(t *testing.T) {
 	f := newFixture(t, nil)
--- a/internal/coordination/forward/path_test.go
+++ b/internal/coordination/forward/path_test.go
@@ -71,7 +71,7 @@
 	count      [2]int
 }
 
-func (l *loop) next() {
+func (l *loop) sendBatch() {
 	for i := range batchSize {
 		l.feeder.Add(l.feed, l.packets[(l.batches*batchSize+i)%len(l.packets)], l.in.Address())
 	}
@@ -139,7 +139,7 @@
 
 	b.ReportAllocs()
 	b.ResetTimer()
-	l.next()
+	l.sendBatch()
 	is.New(b).NoErr(l.in.Serve(pool, func(batch *udp.Batch) {
 		l.handle(batch)
 
@@ -149,7 +149,7 @@
 			return
 		}
 
-		l.next()
+		l.sendBatch()
 	}))
 	b.StopTimer()
 
