--- a/internal/coordination/retry/retry_test.go
+++ b/internal/coordination/retry/retry_test.go
@@ -14,7 +14,8 @@
 var start = time.Unix(1000, 0)
 
 // TestDecide guards against a retry that could run a request twice, that cannot
-// meet the deadline or that exceeds the attempts or the budget.
+// meet the deadline or that exceeds the limit of attempts or the
+// budget.
 func TestDecide(t *testing.T) {
 	base := retry.Attempt{Number: 1, Outcome: retry.NotRun, Deadline: start.Add(time.Second)}
 	cases := map[string]struct {
