--- a/internal/coordination/gate/backend.go
+++ b/internal/coordination/gate/backend.go
@@ -24,15 +24,15 @@
 	return failure.New("gate", operation, kind, err)
 }
 
-// Report is what a backend server says of itself.
+// Report is a status report of a backend server.
 type Report struct {
 	ID       string
 	Service  string
-	Born     int64  // Unix milliseconds of its start; a later start has a higher one
-	Sequence uint64 // rises with each report of one start
-	Slots    uint16 // requests that it runs at a time
+	Born     int64  // start time in Unix milliseconds; higher for a later start
+	Sequence uint64 // increases with each report of the same start
+	Slots    uint16 // maximum number of concurrent requests
 	Leaving  bool
-	Cold     time.Duration // how much longer it is slow after its start
+	Cold     time.Duration // how much longer it is slow because it has just started
 }
 
 // Outcome tells what a report changed.
@@ -41,33 +41,33 @@
 // The outcomes of a report.
 const (
 	Unchanged Outcome = iota + 1
-	Changed           // followers have to be told
-	Late              // a later report or start was heard before
+	Changed           // the agent's record has to be published again
+	Late              // a newer report or start was received before
 )
 
-type lifeState uint8
+type backendState uint8
 
 const (
-	unheard lifeState = iota
+	unreported backendState = iota
 	serving
-	quiet // was serving, and missed several reports
+	silent // was serving, and missed more than maxMissedReports reports
 	leaving
 	ended
 )
 
-// backend is what a gate knows of its backend server.
+// backend is the last known state of the backend server.
 type backend struct {
-	state    lifeState
-	id       string
-	born     int64
-	sequence uint64
-	slots    uint16
-	coldTill time.Time
-	heard    time.Time
-	watched  bool // the gate has seen every flow of this start
+	state         backendState
+	id            string
+	born          int64
+	sequence      uint64
+	slots         uint16
+	coldUntil     time.Time
+	lastReport    time.Time
+	seenFromStart bool // the gate has seen every flow since this start
 }
 
-// Report applies what the backend server says of itself.
+// Report applies a status report of the backend server.
 func (g *Gate) Report(now time.Time, report Report) (Outcome, error) {
 	if report.Service != g.config.Service {
 		return 0, newError("report", KindForeign,
@@ -81,33 +81,33 @@
 	b := &g.backend
 
 	switch {
-	case b.state != unheard && report.Born < b.born:
+	case b.state != unreported && report.Born < b.born:
 		return Late, nil
-	case b.state != unheard && report.Born == b.born && report.Sequence <= b.sequence:
+	case b.state != unreported && report.Born == b.born && report.Sequence <= b.sequence:
 		return Late, nil
 	}
 
 	before := *b
 
 	// Flows that were seen before the first report belong to the backend server
-	// that now makes itself known.
+	// that now reports for the first time.
 	if b.born == 0 {
 		for _, h := range g.flows {
 			h.born = report.Born
 		}
 	}
 
-	if b.state == unheard || report.Born > b.born {
-		b.watched = b.state != unheard || g.sawStart(now, report)
+	if b.state == unreported || report.Born > b.born {
+		b.seenFromStart = b.state != unreported || g.sawStart(now, report)
 		g.health = health{}
 	}
 
-	b.id, b.born, b.sequence, b.slots, b.heard = report.ID, report.Born, report.Sequence, report.Slots, now
-	b.coldTill = now.Add(report.Cold)
+	b.id, b.born, b.sequence, b.slots, b.lastReport = report.ID, report.Born, report.Sequence, report.Slots, now
+	b.coldUntil = now.Add(report.Cold)
 	b.state = serving
 
-	// A backend server that has announced its end does not come back; only
-	// another start does.
+	// Leaving is final for a start of the backend server: it serves again only
+	// after a restart.
 	if report.Leaving || (before.state == leaving && before.born == b.born) {
 		b.state = leaving
 	}
@@ -119,10 +119,10 @@
 	return Unchanged, nil
 }
 
-// sawStart reports whether no flow can have begun before the gate was there to
-// see it: the report is the first one, or the backend server has started at the
-// same time as the gate. Its age comes from the time of day, which may be wrong,
-// so it counts only if the backend server is still cold.
+// sawStart reports whether the gate has seen every flow of the backend server:
+// the report is the first one, or the backend server started at the same time as
+// the gate. Its age is computed from the wall clock, which may be wrong, so it
+// counts only while the backend server is still cold.
 func (g *Gate) sawStart(now time.Time, report Report) bool {
 	if report.Sequence <= 1 {
 		return true
@@ -130,14 +130,14 @@
 
 	age := now.Sub(time.UnixMilli(report.Born))
 
-	return report.Cold > 0 && age <= now.Sub(g.config.Boot)+startSlack
+	return report.Cold > 0 && age <= now.Sub(g.config.Boot)+startTolerance
 }
 
-// Leave notes that the backend server has ended its work. Sequence and start
-// may be missing (0).
+// Leave records that the backend server has ended. A born of 0 means that its
+// start is not known.
 func (g *Gate) Leave(id string, born int64) Outcome {
 	b := &g.backend
-	if (id != b.id && b.state != unheard) || (born != 0 && born < b.born) {
+	if (id != b.id && b.state != unreported) || (born != 0 && born < b.born) {
 		return Late
 	}
 
@@ -150,29 +150,29 @@
 	return Changed
 }
 
-// expire notes that a serving backend server was not heard for a while. A later
-// report of the same start revives it.
-func (b *backend) expire(now time.Time, silence time.Duration) bool {
-	if b.state != serving || now.Sub(b.heard) <= silence {
+// expire marks a serving backend server as silent if its last report is older than
+// the timeout. A later report of the same start makes it serve again.
+func (b *backend) expire(now time.Time, timeout time.Duration) bool {
+	if b.state != serving || now.Sub(b.lastReport) <= timeout {
 		return false
 	}
 
-	b.state = quiet
+	b.state = silent
 
 	return true
 }
 
-// Record describes the agent for the list of agents.
+// Record returns the entry of this agent for the list of agents.
 func (g *Gate) Record(now time.Time) roster.Record {
 	b := &g.backend
 	load := g.Load(now)
 	record := roster.Record{
-		Service: g.config.Service, Slots: b.slots, Cold: b.state == serving && now.Before(b.coldTill),
+		Service: g.config.Service, Slots: b.slots, Cold: b.state == serving && now.Before(b.coldUntil),
 		Flows: load.Flows, Waiting: load.Waiting, Failing: load.Failing,
 	}
 
 	switch b.state {
-	case unheard, quiet:
+	case unreported, silent:
 		record.State = roster.Starting
 	case serving:
 		record.State = roster.Ready
--- a/internal/coordination/gate/checkpoint.go
+++ b/internal/coordination/gate/checkpoint.go
@@ -7,13 +7,13 @@
 	"jayspindle/internal/state/flow"
 )
 
-// lasting is the age from which a flow is worth remembering. Most flows that
-// carry a single request end sooner.
-const lasting = time.Second
+// minCheckpointAge is the age from which a flow is included in checkpoints. Most
+// flows that carry a single request end sooner.
+const minCheckpointAge = time.Second
 
-// Lasting returns the start of the backend server, and the flows that are worth
-// remembering beyond the loss of the instance, with what their clients have
-// acknowledged.
+// Lasting returns the start time of the backend server and the flows to store in
+// a checkpoint, which survives the loss of the instance. The value of each flow is
+// the last sequence number that its client acknowledged.
 func (g *Gate) Lasting(now time.Time) (born int64, flows map[flow.Key]uint32) {
 	flows = make(map[flow.Key]uint32, len(g.flows))
 
@@ -22,8 +22,8 @@
 	}
 
 	for key, h := range g.flows {
-		if h.state == open && h.confirmed && h.born == g.backend.born && !h.closing[0] && !h.closing[1] &&
-			now.Sub(h.since) >= lasting {
+		if h.state == open && h.confirmed && h.born == g.backend.born && !h.closedBy[0] && !h.closedBy[1] &&
+			now.Sub(h.addedAt) >= minCheckpointAge {
 			flows[key] = h.acked
 		}
 	}
@@ -31,24 +31,24 @@
 	return g.backend.born, flows
 }
 
-// Recover takes over what an earlier start of the agent knew. The flows of an
-// earlier start of the backend server are lost and returned; those of the
-// present one are held again. It returns false as long as the backend server has
-// not reported.
+// Recover restores the flows of a checkpoint that an earlier start of the agent
+// wrote. Flows of an earlier start of the backend server are lost and returned as
+// orphans; those of its current start are tracked again. Recover returns false as
+// long as the backend server has not reported.
 func (g *Gate) Recover(now time.Time, memory checkpoint.Memory) (orphans []Orphan, done bool) {
 	if g.backend.born == 0 {
 		return nil, false
 	}
 
 	if memory.Born > g.backend.born {
-		return nil, true // the report is a late one of an earlier start
+		return nil, true // the report is a delayed one of an earlier start
 	}
 
 	lost := memory.Born < g.backend.born || g.backend.state == ended
 
 	for _, remembered := range memory.Flows {
 		switch {
-		case g.flows[remembered.Key] != nil && g.flows[remembered.Key].state != unsure:
+		case g.flows[remembered.Key] != nil && g.flows[remembered.Key].state != unverified:
 		case lost:
 			orphans = append(orphans, Orphan{Key: remembered.Key, Sequence: remembered.Acknowledged})
 		default:
@@ -61,14 +61,14 @@
 	return orphans, true
 }
 
-// adopt holds a flow again. If it has ended meanwhile, the backend server
-// returns the next packet of the client.
+// adopt tracks a flow of a checkpoint again. If the flow has ended since the
+// checkpoint, the backend server returns the client's next packet.
 func (g *Gate) adopt(now time.Time, remembered checkpoint.Flow) {
 	h := g.flows[remembered.Key]
 	if h == nil {
-		h = g.add(now, remembered.Key, open)
+		h = g.addFlow(now, remembered.Key, open)
 		h.acked = remembered.Acknowledged
-		h.since = now.Add(-lasting) // it was remembered because it lasts
+		h.addedAt = now.Add(-minCheckpointAge) // a flow in a checkpoint has reached this age
 	}
 
 	h.state, h.confirmed = open, true
--- a/internal/coordination/gate/checkpoint_test.go
+++ b/internal/coordination/gate/checkpoint_test.go
@@ -9,17 +9,17 @@
 	"jayspindle/internal/state/flow"
 )
 
-// remembered is the flow of these tests as a controller remembers it.
-func remembered(born time.Time) checkpoint.Memory {
+// memoryOf returns a checkpoint of the test flow by a backend server started at born.
+func memoryOf(born time.Time) checkpoint.Memory {
 	return checkpoint.Memory{Born: born.UnixMilli(), Flows: []checkpoint.Flow{{Key: key, Acknowledged: 5}}}
 }
 
-// TestLasting guards against checkpoints of flows that are over soon, and of
-// flows that have ended.
+// TestLasting guards against checkpoints that include short-lived flows or flows
+// that have ended.
 func TestLasting(t *testing.T) {
-	b := newBench(t)
+	b := newBackendFixture(t)
 	b.report(report(start, 1))
-	b.open()
+	b.openFlow()
 
 	_, flows := b.gate.Lasting(b.now)
 	b.is.Equal(len(flows), 0)
@@ -35,22 +35,22 @@
 }
 
 // TestRecover guards against clients that send their next request on a flow that
-// was lost with its instance, and against the reset of flows that live.
+// was lost with its instance, and against the reset of flows that still exist.
 func TestRecover(t *testing.T) {
-	t.Run("the backend server has started anew", func(t *testing.T) {
-		b := newBench(t)
+	t.Run("the backend server has restarted", func(t *testing.T) {
+		b := newBackendFixture(t)
 		b.report(report(start, 1))
 
-		orphans, done := b.gate.Recover(b.now, remembered(start.Add(-time.Minute)))
+		orphans, done := b.gate.Recover(b.now, memoryOf(start.Add(-time.Minute)))
 		b.is.True(done)
 		b.is.Equal(orphans, []gate.Orphan{{Key: key, Sequence: 5}})
 	})
 
-	t.Run("only the agent has started anew", func(t *testing.T) {
-		b := newBench(t)
+	t.Run("only the agent has restarted", func(t *testing.T) {
+		b := newBackendFixture(t)
 		b.report(report(start.Add(-time.Minute), 70))
 
-		orphans, done := b.gate.Recover(b.now, remembered(start.Add(-time.Minute)))
+		orphans, done := b.gate.Recover(b.now, memoryOf(start.Add(-time.Minute)))
 		b.is.True(done)
 		b.is.Equal(len(orphans), 0)
 		b.is.Equal(b.gate.Locate(b.now, key), flow.Held)
@@ -58,34 +58,34 @@
 		_, lasting := b.gate.Lasting(b.now)
 		b.is.Equal(lasting, map[flow.Key]uint32{key: 5})
 
-		// The flow has ended meanwhile.
+		// The flow has ended since the checkpoint.
 		returned := request
 		returned.Returned = true
 		b.fromClient(request, gate.Deliver)
 		b.fromBackend(returned, gate.Reset)
 	})
 
-	t.Run("the backend server was not heard", func(t *testing.T) {
-		b := newBench(t)
-		_, done := b.gate.Recover(b.now, remembered(start))
+	t.Run("the backend server has not reported", func(t *testing.T) {
+		b := newBackendFixture(t)
+		_, done := b.gate.Recover(b.now, memoryOf(start))
 		b.is.True(!done)
 	})
 
 	t.Run("the flow is in use again", func(t *testing.T) {
-		b := newBench(t)
+		b := newBackendFixture(t)
 		b.report(report(start, 1))
-		b.open()
+		b.openFlow()
 
-		orphans, done := b.gate.Recover(b.now, remembered(start.Add(-time.Minute)))
+		orphans, done := b.gate.Recover(b.now, memoryOf(start.Add(-time.Minute)))
 		b.is.True(done)
 		b.is.Equal(len(orphans), 0)
 	})
 
-	t.Run("the report was a late one", func(t *testing.T) {
-		b := newBench(t)
+	t.Run("the report was delayed", func(t *testing.T) {
+		b := newBackendFixture(t)
 		b.report(report(start, 1))
 
-		orphans, done := b.gate.Recover(b.now, remembered(start.Add(time.Minute)))
+		orphans, done := b.gate.Recover(b.now, memoryOf(start.Add(time.Minute)))
 		b.is.True(done)
 		b.is.Equal(len(orphans), 0)
 	})
--- a/internal/coordination/gate/gate.go
+++ b/internal/coordination/gate/gate.go
@@ -1,39 +1,40 @@
-// Package gate decides, at an agent, what happens to the packets of the flows
-// of its backend server. It holds no socket and no clock.
+// Package gate decides for an agent what to do with each packet of its backend
+// server's flows. It does no I/O and takes the current time as an argument.
 //
 // # Usage
 //
-//	g := gate.New(gate.Config{Service: service, Boot: now})
+//	g := gate.New(gate.Config{Service: service, Boot: now}, observe)
 //	g.Follow(table)
-//	outcome, err := g.Report(now, report)     // what the backend server says of itself
+//	outcome, err := g.Report(now, report)     // the backend server's status report
 //	decision := g.FromClient(now, forwarder, header, packet)
 //	decision = g.FromBackend(now, header)
-//	started := g.Start(now)                   // requests that get a slot, after each packet
-//	answer := g.Locate(key)
-//	orphans, done := g.Recover(now, memory)   // flows of an earlier start of the agent
+//	started := g.Start(now)                   // after each packet: queued requests that get a slot
+//	answer := g.Locate(now, key)
+//	orphans, done := g.Recover(now, memory)   // flows from before a restart of the agent
 //
 // # New flows
 //
-// The gate is the last to decide whether a new flow may start: the backend
-// server must be ready, and the document in force must allow its service for
-// the address. What entry instances believe may be older; it costs a round trip
-// at most. Once the backend server has said that it is leaving, no flow starts
-// there any more.
+// The gate makes the final decision whether a new flow may start: the backend
+// server must be ready, and the current document must allow its service for the
+// address. The view of an entry instance may be older; a wrong guess there costs
+// at most one round trip. Once the backend server has reported that it is
+// leaving, no new flow starts there.
 //
 // # Open flows
 //
 // The gate sees both directions, so it knows which flows its backend server
-// holds. A gate that has started after its backend server is unsure of flows
+// holds. A gate that started after its backend server cannot know about flows
 // that it has not seen: it delivers their packets, and the backend server
 // returns those of flows that it does not hold. A flow is reset only when the
 // backend server that held it has certainly ended.
 //
 // # Requests
 //
-// Services carry protocols of requests and answers, one at a time on a flow. New
-// data of the client is a request, and the next data of the backend server its
-// answer. As many requests as the backend server has slots are handed over; the
-// queue orders the others. How they end tells whether the backend server is well.
+// Services use request/response protocols with one request at a time per flow.
+// New data from the client is a request, and the next data from the backend
+// server is its answer. The gate hands over as many requests as the backend
+// server has slots and queues the others. The outcomes of the requests show
+// whether the backend server is healthy.
 package gate
 
 import (
@@ -45,29 +46,30 @@
 )
 
 const (
-	// retention is how long a flow without packets is kept, above the idle
+	// idleFlowTTL is how long a flow without packets is kept. It exceeds the idle
 	// timeouts of the deployments.
-	retention = 75 * time.Second
+	idleFlowTTL = 75 * time.Second
 
-	// closedRetention is how long a flow that both ends have closed is kept:
-	// their last packets may be repeated a few times.
-	closedRetention = 10 * time.Second
+	// closedFlowTTL is how long a flow is kept after both sides have closed it,
+	// because their last packets may be retransmitted a few times.
+	closedFlowTTL = 10 * time.Second
 
-	// sweepInterval is how often flows that are no longer used are forgotten.
+	// sweepInterval is how often expired flows are removed.
 	sweepInterval = 5 * time.Second
 
-	// missedReports is the number of reports that a backend server may miss
-	// before no new flow starts there.
-	missedReports = 3
+	// maxMissedReports is the number of reports that a backend server may miss
+	// before it gets no new flows.
+	maxMissedReports = 3
 
-	// startSlack is how much earlier than the gate a backend server may have
-	// started without having had an earlier gate: the restart of a process
-	// takes longer.
-	startSlack = 300 * time.Millisecond
+	// startTolerance is how much earlier than the gate a backend server may have
+	// started and still count as started together with it. The restart of a
+	// gate takes longer, so no earlier gate can have served this backend server.
+	startTolerance = 300 * time.Millisecond
 
-	// learned is how long after its start a gate stays unsure of flows that it
-	// has not seen: the longest life of a flow in the deployments.
-	learned = 60 * time.Second
+	// learningWindow is how long after the start of a gate its backend server may
+	// hold flows that the gate has not seen: the longest lifetime of a flow in
+	// the deployments.
+	learningWindow = 60 * time.Second
 )
 
 // Kind tells what to do with a packet.
@@ -100,12 +102,12 @@
 	ReasonClosed   Reason = "the client closed the flow while its request waited for a slot"
 )
 
-// Decision is the outcome for one packet.
+// Decision tells what to do with one packet and what to report to the forwarder.
 type Decision struct {
 	Kind      Kind
-	Forwarder flow.Endpoint // of a Return, and of Accepted
+	Forwarder flow.Endpoint // the entry instance that a Return, Accepted or Found is sent to
 	Accepted  bool          // tell Forwarder that the flow was accepted
-	Found     bool          // tell Forwarder that the flow is held here
+	Found     bool          // tell Forwarder that the backend server holds the flow
 	Reason    Reason
 }
 
@@ -113,10 +115,10 @@
 type Counters struct {
 	Accepted, Refused, Resets, Returned, Stray uint64
 	Held                                       uint64 // requests that waited for a slot
-	Abandoned                                  uint64 // requests whose clients closed the flow meanwhile
+	Abandoned                                  uint64 // requests whose clients closed the flow while they waited
 }
 
-// Config holds what is fixed for a Gate.
+// Config holds the settings of a Gate.
 type Config struct {
 	Service string // of the backend server beside the agent
 	Boot    time.Time
@@ -124,39 +126,40 @@
 	ReportInterval time.Duration
 }
 
-// Gate holds the flows of one backend server. One goroutine at a time uses it.
+// Gate tracks the flows of one backend server. It is not safe for concurrent use.
 type Gate struct {
-	config   Config
-	table    *route.Table
-	backend  backend
-	flows    map[flow.Key]*held
-	open     int // flows that are not closed
-	waiting  int // flows whose client waits
-	running  int // requests that the backend server has
-	queue    queue
-	health   health
-	swept    time.Time
-	checked  time.Time // last time that overdue answers were looked for
-	counters Counters
-	observe  func(wait time.Duration)
+	config          Config
+	table           *route.Table
+	backend         backend
+	flows           map[flow.Key]*heldFlow
+	openFlows       int // flows that are not closed
+	waitingFlows    int // flows whose client waits for an answer
+	runningRequests int // requests handed over and not answered yet
+	queue           queue
+	health          health
+	lastSweep       time.Time
+	lastExpiry      time.Time // last check for overdue answers
+	counters        Counters
+	observeWait     func(wait time.Duration)
 }
 
-// New returns a gate that has not heard its backend server. Observe is called
-// with the time to the first byte of each answer.
+// New returns a gate that has no report of its backend server yet. It calls
+// observe with the time to the first byte of each answer.
 func New(config Config, observe func(wait time.Duration)) *Gate {
 	return &Gate{
-		config: config, flows: make(map[flow.Key]*held), swept: config.Boot, observe: observe, queue: newQueue(),
+		config: config, flows: make(map[flow.Key]*heldFlow), lastSweep: config.Boot, observeWait: observe,
+		queue: newQueue(),
 	}
 }
 
-// Follow puts a document in force. Older versions are ignored.
+// Follow makes a document the current one. Older versions are ignored.
 func (g *Gate) Follow(table *route.Table) {
 	if table.Version() > g.table.Version() {
 		g.table = table
 	}
 }
 
-// Version returns the version of the document in force.
+// Version returns the version of the current document.
 func (g *Gate) Version() uint64 { return g.table.Version() }
 
 // Counters returns the counts of decisions so far.
@@ -165,20 +168,21 @@
 // Load returns the load of the backend server.
 func (g *Gate) Load(now time.Time) roster.Load {
 	return roster.Load{
-		Flows: uint16(min(g.open, 1<<16-1)), Waiting: uint16(min(g.waiting, 1<<16-1)), Failing: g.health.failing(now),
+		Flows: uint16(min(g.openFlows, 1<<16-1)), Waiting: uint16(min(g.waitingFlows, 1<<16-1)),
+		Failing: g.health.failing(now),
 	}
 }
 
 // FromClient decides about a packet that an entry instance forwarded. The gate
-// copies what it keeps of the packet.
+// keeps no reference to the packet; it copies a packet that it holds.
 func (g *Gate) FromClient(now time.Time, forwarder flow.Endpoint, header flow.Header, packet []byte) Decision {
 	key := header.Key()
 	h := g.flows[key]
 
-	// Packets of a flow whose backend server has ended must not reach the next
-	// one at the address.
-	if h != nil && (h.born != g.backend.born || g.backend.state == ended) && h.state != unsure {
-		g.forget(key, h)
+	// Packets of a flow whose backend server has ended must not reach its
+	// successor at the same address.
+	if h != nil && (h.born != g.backend.born || g.backend.state == ended) && h.state != unverified {
+		g.removeFlow(key, h)
 
 		if !header.Opens() {
 			g.counters.Resets++
@@ -190,22 +194,22 @@
 	}
 
 	if header.Opens() {
-		return g.opens(now, key, h, forwarder)
+		return g.handleOpen(now, key, h, forwarder)
 	}
 
 	if h == nil {
-		if !g.unsure(now) {
+		if !g.mayHoldUnseenFlows(now) {
 			g.counters.Returned++
 
 			return Decision{Kind: Return, Forwarder: forwarder, Reason: ReasonNotHeld}
 		}
 
-		h = g.add(now, key, unsure)
+		h = g.addFlow(now, key, unverified)
 	}
 
-	h.forwarder, h.last, h.acked = forwarder, now, header.Acknowledged
+	h.forwarder, h.lastPacket, h.acked = forwarder, now, header.Acknowledged
 
-	decision := Decision{Kind: g.clientSent(now, key, h, header, packet)}
+	decision := Decision{Kind: g.handleClientPacket(now, key, h, header, packet)}
 	if decision.Kind == Drop {
 		decision.Reason = ReasonClosed
 	}
@@ -213,17 +217,17 @@
 	return decision
 }
 
-// opens decides about the first packet of a flow.
-func (g *Gate) opens(now time.Time, key flow.Key, h *held, forwarder flow.Endpoint) Decision {
-	// A client that opens again after it has closed uses the same ends for a new flow.
+// handleOpen decides about the first packet of a flow.
+func (g *Gate) handleOpen(now time.Time, key flow.Key, h *heldFlow, forwarder flow.Endpoint) Decision {
+	// A client that opens a flow again after closing it reuses the same address and port.
 	if h != nil && h.abandoned {
-		g.forget(key, h)
+		g.removeFlow(key, h)
 
 		h = nil
 	}
 
 	if h != nil {
-		h.forwarder, h.last = forwarder, now
+		h.forwarder, h.lastPacket = forwarder, now
 
 		return Decision{Kind: Deliver, Forwarder: forwarder, Accepted: h.state == open}
 	}
@@ -234,7 +238,7 @@
 		return Decision{Kind: Return, Forwarder: forwarder, Reason: reason}
 	}
 
-	g.add(now, key, opening).forwarder = forwarder
+	g.addFlow(now, key, opening).forwarder = forwarder
 
 	return Decision{Kind: Deliver}
 }
@@ -242,7 +246,7 @@
 // refusal returns why a new flow must not start, or ReasonNone.
 func (g *Gate) refusal(key flow.Key) Reason {
 	switch g.backend.state {
-	case unheard, quiet:
+	case unreported, silent:
 		return ReasonUnknown
 	case leaving:
 		return ReasonLeaving
@@ -258,42 +262,42 @@
 	return ReasonNone
 }
 
-func (g *Gate) add(now time.Time, key flow.Key, state heldState) *held {
-	h := &held{state: state, born: g.backend.born, since: now, last: now}
+func (g *Gate) addFlow(now time.Time, key flow.Key, state flowState) *heldFlow {
+	h := &heldFlow{state: state, born: g.backend.born, addedAt: now, lastPacket: now}
 	g.flows[key] = h
-	g.open++
+	g.openFlows++
 
 	return h
 }
 
-func (g *Gate) forget(key flow.Key, h *held) {
+func (g *Gate) removeFlow(key flow.Key, h *heldFlow) {
 	delete(g.flows, key)
 
 	if !h.closed() {
-		g.open--
+		g.openFlows--
 	}
 
-	g.done(h)
+	g.finishRequest(h)
 	g.dropRequest(h)
 
-	if !h.waiting.IsZero() {
-		g.waiting--
+	if !h.waitingSince.IsZero() {
+		g.waitingFlows--
 	}
 }
 
-func (g *Gate) closes(h *held, end int) {
-	before := h.closed()
-	h.closing[end] = true
+func (g *Gate) markClosed(h *heldFlow, side int) {
+	wasClosed := h.closed()
+	h.closedBy[side] = true
 
-	if !before && h.closed() {
-		g.open--
+	if !wasClosed && h.closed() {
+		g.openFlows--
 	}
 }
 
 // FromBackend decides about a packet that the backend server sent.
 func (g *Gate) FromBackend(now time.Time, header flow.Header) Decision {
 	if header.Returned {
-		return g.returned(header)
+		return g.handleReturned(header)
 	}
 
 	key := header.ReplyKey()
@@ -301,7 +305,7 @@
 	h := g.flows[key]
 	if h == nil {
 		// The gate has restarted since the flow was opened.
-		h = g.add(now, key, open)
+		h = g.addFlow(now, key, open)
 		h.confirmed = !header.Accepts()
 	}
 
@@ -311,36 +315,36 @@
 	case opening:
 		g.counters.Accepted++
 		decision.Accepted = true
-	case unsure:
+	case unverified:
 		decision.Found = true
 	case open:
 	}
 
-	h.state, h.last, h.born = open, now, g.backend.born
+	h.state, h.lastPacket, h.born = open, now, g.backend.born
 	if !header.Accepts() {
 		h.confirmed = true
 	}
 
-	if header.Length > 0 && !h.waiting.IsZero() && h.request == nil {
-		g.answered(now, key, h)
+	if header.Length > 0 && !h.waitingSince.IsZero() && h.request == nil {
+		g.recordAnswer(now, key, h)
 	}
 
 	switch {
 	case header.Reset:
-		if !h.handed.IsZero() {
+		if !h.handedOverAt.IsZero() {
 			g.health.observe(now, true)
 		}
 
-		g.forget(key, h)
+		g.removeFlow(key, h)
 	case header.Close:
-		g.closes(h, 1)
+		g.markClosed(h, 1)
 	}
 
 	return decision
 }
 
-// returned decides about a packet that the backend server does not want.
-func (g *Gate) returned(header flow.Header) Decision {
+// handleReturned decides about a packet that the backend server returned unused.
+func (g *Gate) handleReturned(header flow.Header) Decision {
 	key := header.Key()
 
 	h := g.flows[key]
@@ -351,7 +355,7 @@
 	}
 
 	forwarder := h.forwarder
-	g.forget(key, h)
+	g.removeFlow(key, h)
 
 	switch {
 	case header.Opens():
@@ -359,7 +363,7 @@
 
 		return Decision{Kind: Return, Forwarder: forwarder, Reason: ReasonFull}
 	case h.confirmed:
-		// The backend server has used the flow, so no other one holds it.
+		// The flow was in use at this backend server, so no other one holds it.
 		g.counters.Resets++
 
 		return Decision{Kind: Reset, Forwarder: forwarder, Reason: ReasonNotHeld}
@@ -370,21 +374,21 @@
 	}
 }
 
-// Sweep forgets flows that are no longer used and notices that the backend
-// server has ended without a word. It reports whether the state changed.
+// Sweep removes expired flows and marks the backend server as silent if it has
+// stopped reporting. It reports whether that state changed.
 func (g *Gate) Sweep(now time.Time) bool {
-	changed := g.backend.expire(now, missedReports*g.config.ReportInterval)
+	changed := g.backend.expire(now, maxMissedReports*g.config.ReportInterval)
 
-	if now.Sub(g.swept) < sweepInterval {
+	if now.Sub(g.lastSweep) < sweepInterval {
 		return changed
 	}
 
-	g.swept = now
+	g.lastSweep = now
 
 	for key, h := range g.flows {
-		idle := now.Sub(h.last)
-		if idle > retention || (h.closed() && idle > closedRetention) {
-			g.forget(key, h)
+		idle := now.Sub(h.lastPacket)
+		if idle > idleFlowTTL || (h.closed() && idle > closedFlowTTL) {
+			g.removeFlow(key, h)
 		}
 	}
 
--- a/internal/coordination/gate/gate_test.go
+++ b/internal/coordination/gate/gate_test.go
@@ -21,10 +21,10 @@
 	}
 )
 
-const interval = 770 * time.Millisecond
+const reportInterval = 770 * time.Millisecond
 
-// bench is a gate with a document.
-type bench struct {
+// backendFixture is a gate with a document, and passes it the packets of one flow.
+type backendFixture struct {
 	*testing.T
 	is   *is.I
 	now  time.Time
@@ -45,20 +45,20 @@
 	return built
 }
 
-func newBench(t *testing.T) *bench {
+func newBackendFixture(t *testing.T) *backendFixture {
 	t.Helper()
 
-	g := gate.New(gate.Config{Service: "desk", Boot: start, ReportInterval: interval}, func(time.Duration) {})
+	g := gate.New(gate.Config{Service: "desk", Boot: start, ReportInterval: reportInterval}, func(time.Duration) {})
 	g.Follow(table(t, 1, "desk"))
 
-	return &bench{T: t, is: is.New(t), now: start, gate: g}
+	return &backendFixture{T: t, is: is.New(t), now: start, gate: g}
 }
 
 func report(born time.Time, sequence uint64) gate.Report {
 	return gate.Report{ID: "a", Service: "desk", Born: born.UnixMilli(), Sequence: sequence, Slots: 3}
 }
 
-func (b *bench) report(r gate.Report) gate.Outcome {
+func (b *backendFixture) report(r gate.Report) gate.Outcome {
 	b.Helper()
 
 	outcome, err := b.gate.Report(b.now, r)
@@ -67,8 +67,8 @@
 	return outcome
 }
 
-// fromClient passes a packet of the client and checks what happens to it.
-func (b *bench) fromClient(header flow.Header, want gate.Kind) gate.Decision {
+// fromClient passes a packet from the client and checks the kind of the decision.
+func (b *backendFixture) fromClient(header flow.Header, want gate.Kind) gate.Decision {
 	b.Helper()
 	b.is.Helper()
 
@@ -79,8 +79,9 @@
 	return decision
 }
 
-// fromBackend passes a packet of the backend server.
-func (b *bench) fromBackend(header flow.Header, want gate.Kind) gate.Decision {
+// fromBackend passes a packet from the backend server and checks the kind of the
+// decision.
+func (b *backendFixture) fromBackend(header flow.Header, want gate.Kind) gate.Decision {
 	b.Helper()
 	b.is.Helper()
 
@@ -103,8 +104,8 @@
 	answer  = flow.Header{Acks: true, Length: 200}
 )
 
-// open opens the flow.
-func (b *bench) open() {
+// openFlow opens the flow and runs one request on it.
+func (b *backendFixture) openFlow() {
 	b.Helper()
 	b.fromClient(opens, gate.Deliver)
 	b.is.True(b.fromBackend(accepts, gate.ToClient).Accepted)
@@ -112,53 +113,53 @@
 	b.fromBackend(answer, gate.ToClient)
 }
 
-// TestOpen guards against flows that start where they must not.
+// TestOpen guards against new flows at a backend server that must not get any.
 func TestOpen(t *testing.T) {
 	t.Run("before the first report", func(t *testing.T) {
-		newBench(t).refuses(gate.ReasonUnknown)
+		newBackendFixture(t).checkRefused(gate.ReasonUnknown)
 	})
 
 	t.Run("leaving", func(t *testing.T) {
-		b := newBench(t)
+		b := newBackendFixture(t)
 		b.report(report(start, 1))
 
 		leaving := report(start, 2)
 		leaving.Leaving = true
 		b.is.Equal(b.report(leaving), gate.Changed)
-		b.refuses(gate.ReasonLeaving)
+		b.checkRefused(gate.ReasonLeaving)
 
-		// A leave is final for this start, whatever a confused report says.
+		// Leaving is final for this start, even if a later report contradicts it.
 		b.report(report(start, 3))
-		b.refuses(gate.ReasonLeaving)
+		b.checkRefused(gate.ReasonLeaving)
 	})
 
 	t.Run("ended", func(t *testing.T) {
-		b := newBench(t)
+		b := newBackendFixture(t)
 		b.report(report(start, 1))
 		b.gate.Leave("a", 0)
-		b.refuses(gate.ReasonEnded)
+		b.checkRefused(gate.ReasonEnded)
 	})
 
 	t.Run("silent", func(t *testing.T) {
-		b := newBench(t)
+		b := newBackendFixture(t)
 		b.report(report(start, 1))
-		b.is.True(b.gate.Sweep(b.now.Add(3*interval + 1)))
-		b.refuses(gate.ReasonUnknown)
+		b.is.True(b.gate.Sweep(b.now.Add(3*reportInterval + 1)))
+		b.checkRefused(gate.ReasonUnknown)
 
 		b.report(report(start, 2))
 		b.fromClient(opens, gate.Deliver)
 	})
 
 	t.Run("route of another service", func(t *testing.T) {
-		b := newBench(t)
+		b := newBackendFixture(t)
 		b.report(report(start, 1))
 		b.gate.Follow(table(t, 2, "link"))
 		b.gate.Follow(table(t, 1, "desk")) // older
-		b.refuses(gate.ReasonNoRoute)
+		b.checkRefused(gate.ReasonNoRoute)
 	})
 
 	t.Run("full", func(t *testing.T) {
-		b := newBench(t)
+		b := newBackendFixture(t)
 		b.report(report(start, 1))
 		b.fromClient(opens, gate.Deliver)
 
@@ -169,25 +170,25 @@
 	})
 }
 
-func (b *bench) refuses(reason gate.Reason) {
+func (b *backendFixture) checkRefused(reason gate.Reason) {
 	b.Helper()
 	b.is.Helper()
 	b.is.Equal(b.fromClient(opens, gate.Return).Reason, reason)
 }
 
-// TestReport guards against reports that were overtaken, or that come from
-// somebody else.
+// TestReport guards against applying reports that arrive out of order or that
+// come from another service.
 func TestReport(t *testing.T) {
-	b := newBench(t)
+	b := newBackendFixture(t)
 	later := start.Add(time.Second)
 	b.is.Equal(b.report(report(later, 4)), gate.Changed)
 	b.is.Equal(b.report(report(later, 5)), gate.Unchanged)
 	b.is.Equal(b.report(report(later, 5)), gate.Late)
-	b.is.Equal(b.report(report(start, 99)), gate.Late) // of the start before
+	b.is.Equal(b.report(report(start, 99)), gate.Late) // of the previous start
 	b.is.Equal(b.gate.Leave("a", start.UnixMilli()), gate.Late)
 	b.is.Equal(b.gate.Leave("other", 0), gate.Late)
 
-	// Counts start anew with each start.
+	// Sequence numbers restart with each start.
 	b.is.Equal(b.report(report(later.Add(time.Second), 1)), gate.Changed)
 
 	foreign := report(later.Add(time.Hour), 1)
@@ -199,12 +200,12 @@
 	b.is.True(err != nil)
 }
 
-// TestLoad guards against a load signal that drifts: placement and drain depend
-// on it.
+// TestLoad guards against flows that are counted twice or never subtracted:
+// placement and draining depend on the reported load.
 func TestLoad(t *testing.T) {
-	b := newBench(t)
+	b := newBackendFixture(t)
 	b.report(report(start, 1))
-	b.open()
+	b.openFlow()
 	b.is.Equal(b.gate.Load(b.now), roster.Load{Flows: 1})
 
 	next := request
@@ -216,7 +217,7 @@
 	closes := flow.Header{Acks: true, Close: true, Length: 10}
 	b.fromBackend(closes, gate.ToClient)
 	b.fromClient(flow.Header{Acks: true, Close: true}, gate.Deliver)
-	b.fromClient(flow.Header{Acks: true, Close: true}, gate.Deliver) // repeated
+	b.fromClient(flow.Header{Acks: true, Close: true}, gate.Deliver) // retransmitted
 	b.is.Equal(b.gate.Load(b.now), roster.Load{})
 
 	b.gate.Sweep(b.now.Add(time.Minute))
@@ -224,9 +225,9 @@
 }
 
 // TestRestart guards against flows that are lost when the agent restarts while
-// the backend server goes on.
+// the backend server keeps running.
 func TestRestart(t *testing.T) {
-	b := newBench(t)
+	b := newBackendFixture(t)
 	b.is.Equal(b.gate.Locate(b.now, key), flow.Unsure)
 
 	b.report(report(start.Add(-time.Minute), 70))
@@ -238,11 +239,10 @@
 	b.is.Equal(b.gate.Locate(b.now, key), flow.Held)
 }
 
-// TestRestartBeforeReport guards against the reset of flows that an agent has
-// seen again after its restart, before the first report of the backend server
-// (soak seed 2009).
+// TestRestartBeforeReport guards against the reset of flows whose packets reach a
+// restarted agent before the first report of the backend server (soak seed 2009).
 func TestRestartBeforeReport(t *testing.T) {
-	b := newBench(t)
+	b := newBackendFixture(t)
 	b.fromClient(request, gate.Deliver)
 	b.fromBackend(answer, gate.ToClient)
 
@@ -252,10 +252,11 @@
 	b.fromClient(request, gate.Deliver)
 }
 
-// TestRestartNotHeld guards against a flow that stays with an agent whose
-// backend server does not hold it, and against its reset while another one may.
+// TestRestartNotHeld guards against a flow that stays assigned to an agent whose
+// backend server does not hold it, and against its reset while another backend
+// server may hold it.
 func TestRestartNotHeld(t *testing.T) {
-	b := newBench(t)
+	b := newBackendFixture(t)
 	b.report(report(start.Add(-time.Minute), 70))
 	b.fromClient(request, gate.Deliver)
 
@@ -268,7 +269,7 @@
 // TestSecondAcceptance guards against the reset of a flow that two backend
 // servers have accepted and whose client uses the other one.
 func TestSecondAcceptance(t *testing.T) {
-	b := newBench(t)
+	b := newBackendFixture(t)
 	b.report(report(start, 1))
 	b.fromClient(opens, gate.Deliver)
 	b.fromBackend(accepts, gate.ToClient)
@@ -279,8 +280,8 @@
 	b.fromBackend(returned, gate.Return)
 }
 
-// TestKnows guards against searches that end without certainty: an agent that
-// has seen its backend server start knows all flows.
+// TestKnows guards against needlessly inconclusive searches: an agent that has
+// seen its backend server start knows all of its flows.
 func TestKnows(t *testing.T) {
 	cold := func(born time.Time, sequence uint64) gate.Report {
 		r := report(born, sequence)
@@ -299,25 +300,25 @@
 		"wrong clock":          {report(start.Add(time.Hour), 30), flow.Unsure},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newBackendFixture(t)
 			b.report(test.report)
 			b.is.Equal(b.gate.Locate(b.now, key), test.want)
 		})
 	}
 
 	t.Run("no backend server", func(t *testing.T) {
-		b := newBench(t)
-		b.is.Equal(b.gate.Locate(b.now.Add(4*interval), key), flow.Absent)
+		b := newBackendFixture(t)
+		b.is.Equal(b.gate.Locate(b.now.Add(4*reportInterval), key), flow.Absent)
 	})
 }
 
-// TestReplaced guards against packets of a flow that reach the next backend
-// server at the address, and against clients that learn too late that their
-// flow is gone.
+// TestReplaced guards against packets of a flow that reach the successor of its
+// backend server at the same address, and against clients that are not told at
+// once that their flow is lost.
 func TestReplaced(t *testing.T) {
-	b := newBench(t)
+	b := newBackendFixture(t)
 	b.report(report(start, 1))
-	b.open()
+	b.openFlow()
 
 	b.report(report(start.Add(time.Second), 1))
 	b.is.Equal(b.gate.Locate(b.now, key), flow.Absent)
@@ -330,12 +331,12 @@
 	b.fromClient(request, gate.Return)
 }
 
-// TestEnded guards against the same for a packet that arrives before the flows
-// were reset.
+// TestEnded guards against a packet that reaches the successor of its backend
+// server because it arrives before the flow was reset.
 func TestEnded(t *testing.T) {
-	b := newBench(t)
+	b := newBackendFixture(t)
 	b.report(report(start, 1))
-	b.open()
+	b.openFlow()
 	b.report(report(start.Add(time.Second), 1))
 	b.is.Equal(b.fromClient(request, gate.Reset).Reason, gate.ReasonReplaced)
 	b.fromClient(opens, gate.Deliver)
--- a/internal/coordination/gate/health.go
+++ b/internal/coordination/gate/health.go
@@ -3,56 +3,57 @@
 import "time"
 
 const (
-	// failureWeight is the share of a new outcome in the average: three failures in
-	// a row of a backend server that never failed before reach the limit.
+	// failureWeight is the weight of a new outcome in the moving average. Three
+	// consecutive failures of a backend server that never failed before reach
+	// failureLimit.
 	failureWeight = 0.1
 
-	// failureLimit is the share of failures from which new flows should go
-	// elsewhere. Backend servers that are well close an idle flow just as its
-	// client uses it again, which is far below.
+	// failureLimit is the failure rate from which new flows should go elsewhere.
+	// Healthy backend servers cause a far lower rate, when they close an idle flow
+	// just as its client uses it again.
 	failureLimit = 0.25
 
-	// calmLimit is the share of failures below which earlier trouble is forgotten.
-	calmLimit = 0.05
+	// recoveredLimit is the failure rate below which the backoff is reset.
+	recoveredLimit = 0.05
 
-	// firstRest and longestRest bound how long new flows go elsewhere before the
-	// backend server is tried again. Each time it fails again the rest doubles.
-	firstRest   = 2 * time.Second
-	longestRest = 16 * time.Second
+	// minBackoff and maxBackoff bound how long new flows go elsewhere before the
+	// backend server is tried again. The backoff doubles each time it fails again.
+	minBackoff = 2 * time.Second
+	maxBackoff = 16 * time.Second
 
-	// acceptLimit is how long a backend server may take to answer an opening
-	// packet. It answers within a few milliseconds, whatever its load.
-	acceptLimit = 60 * time.Millisecond
+	// acceptTimeout is how long a backend server may take to answer an opening
+	// packet. Healthy ones answer within a few milliseconds, whatever their load.
+	acceptTimeout = 60 * time.Millisecond
 )
 
-// health is what the flows of a backend server tell about it. Its own health
-// check may say something else, and takes a slot.
+// health is a passive health check based on the outcomes of requests. The backend
+// server's own health check may disagree with them, and it occupies a slot.
 type health struct {
-	failures float64 // average share of failures
-	rest     time.Duration
-	until    time.Time // new flows should go elsewhere
+	failureRate  float64 // moving average, 0 to 1
+	backoff      time.Duration
+	backoffUntil time.Time // new flows should go elsewhere
 }
 
-// observe takes the outcome of a request into account. An opening packet counts
-// only if it was not answered: a backend server that accepts a flow may still fail
-// its requests.
+// observe adds the outcome of a request to the failure rate. An opening packet is
+// observed only if it was not answered, because a backend server that accepts a
+// flow may still fail its requests.
 func (h *health) observe(now time.Time, failed bool) {
 	outcome := 0.0
 	if failed {
 		outcome = 1
 	}
 
-	h.failures += failureWeight * (outcome - h.failures)
+	h.failureRate += failureWeight * (outcome - h.failureRate)
 
 	switch {
-	case h.failures < calmLimit:
-		h.rest = 0
-	case failed && h.failures >= failureLimit && !h.failing(now):
-		h.rest = min(longestRest, max(firstRest, 2*h.rest))
-		h.until = now.Add(h.rest)
-		h.failures = failureLimit / 2 // so that two failures after the rest are enough
+	case h.failureRate < recoveredLimit:
+		h.backoff = 0
+	case failed && h.failureRate >= failureLimit && !h.failing(now):
+		h.backoff = min(maxBackoff, max(minBackoff, 2*h.backoff))
+		h.backoffUntil = now.Add(h.backoff)
+		h.failureRate = failureLimit / 2 // so that two failures after the backoff are enough
 	}
 }
 
 // failing reports whether new flows should go elsewhere.
-func (h *health) failing(now time.Time) bool { return now.Before(h.until) }
+func (h *health) failing(now time.Time) bool { return now.Before(h.backoffUntil) }
--- a/internal/coordination/gate/health_test.go
+++ b/internal/coordination/gate/health_test.go
@@ -7,53 +7,52 @@
 	"jayspindle/internal/state/flow"
 )
 
-// fail lets the backend server reset a number of requests, each on a flow of its
-// own.
-func (s *shop) fail(from, count int) {
+// failRequests lets the backend server reset count requests, each on its own flow.
+func (s *slotFixture) failRequests(from, count int) {
 	for number := range count {
 		key := client(from+number, normal)
-		s.ask(key)
+		s.sendRequest(key)
 		s.fromBackend(key, flow.Header{Reset: true})
 	}
 }
 
-// succeed lets the backend server answer a number of requests on one flow.
-func (s *shop) succeed(count int) {
+// answerRequests lets the backend server answer count requests on one flow.
+func (s *slotFixture) answerRequests(count int) {
 	for range count {
 		key := client(0, normal)
-		s.ask(key)
+		s.sendRequest(key)
 		s.answer(key)
 	}
 }
 
-func (s *shop) failing() bool { return s.gate.Load(s.now).Failing }
+func (s *slotFixture) failing() bool { return s.gate.Load(s.now).Failing }
 
-// TestFailing guards against a backend server that fails requests behind a good
-// health check: it is fast, has few flows, and gets all new ones.
+// TestFailing guards against a backend server that fails requests while its own
+// health check passes: it answers fast, so it has few flows and gets all new ones.
 func TestFailing(t *testing.T) {
 	t.Run("resets", func(t *testing.T) {
-		s := newShop(t, 3)
-		s.succeed(50)
-		s.fail(1, 2)
+		s := newSlotFixture(t, 3)
+		s.answerRequests(50)
+		s.failRequests(1, 2)
 		s.is.True(!s.failing())
-		s.fail(3, 1)
+		s.failRequests(3, 1)
 		s.is.True(s.failing())
 	})
 
-	t.Run("a part of the requests", func(t *testing.T) {
-		s := newShop(t, 3)
+	t.Run("some of the requests", func(t *testing.T) {
+		s := newSlotFixture(t, 3)
 		for round := range 10 {
-			s.fail(1+2*round, 2)
-			s.succeed(3)
+			s.failRequests(1+2*round, 2)
+			s.answerRequests(3)
 		}
 
 		s.is.True(s.failing())
 	})
 
 	t.Run("no answers", func(t *testing.T) {
-		s := newShop(t, 3)
+		s := newSlotFixture(t, 3)
 		for number := range 3 {
-			s.ask(client(number, normal))
+			s.sendRequest(client(number, normal))
 		}
 
 		s.now = s.now.Add(time.Second)
@@ -62,7 +61,7 @@
 	})
 
 	t.Run("no acceptance", func(t *testing.T) {
-		s := newShop(t, 3)
+		s := newSlotFixture(t, 3)
 		for number := range 3 {
 			s.fromClient(client(number, normal), opens)
 		}
@@ -73,21 +72,21 @@
 	})
 }
 
-// TestNotFailing guards against a backend server that is passed over for the few
-// failures that are part of ordinary work.
+// TestNotFailing guards against a backend server that gets no new flows because
+// of the few failures of normal operation.
 func TestNotFailing(t *testing.T) {
-	s := newShop(t, 3)
+	s := newSlotFixture(t, 3)
 
 	for round := range 20 {
-		s.succeed(19)
-		s.fail(1+round, 1)
+		s.answerRequests(19)
+		s.failRequests(1+round, 1)
 		s.is.True(!s.failing())
 	}
 
-	// A reset that nobody waits for is no failure: the flow was idle.
+	// A reset of an idle flow is no failure: no client waits for an answer.
 	for number := range 10 {
 		key := client(100+number, normal)
-		s.ask(key)
+		s.sendRequest(key)
 		s.answer(key)
 		s.fromBackend(key, flow.Header{Reset: true})
 	}
@@ -95,29 +94,29 @@
 	s.is.True(!s.failing())
 }
 
-// TestRest guards against a backend server that gets no flows for good after a
-// failure, and against one that is tried every other second while it fails.
+// TestRest guards against a backend server that never gets flows again after a
+// failure, and against one that is retried every two seconds while it keeps failing.
 func TestRest(t *testing.T) {
-	s := newShop(t, 3)
-	s.fail(1, 3)
+	s := newSlotFixture(t, 3)
+	s.failRequests(1, 3)
 	s.now = s.now.Add(2 * time.Second)
 	s.is.True(!s.failing())
 
-	s.fail(4, 2)
+	s.failRequests(4, 2)
 	s.is.True(s.failing())
 	s.now = s.now.Add(2 * time.Second)
-	s.is.True(s.failing()) // it rests for longer
+	s.is.True(s.failing()) // the backoff has doubled
 	s.now = s.now.Add(2 * time.Second)
 	s.is.True(!s.failing())
 
-	s.succeed(20)
-	s.fail(6, 3)
+	s.answerRequests(20)
+	s.failRequests(6, 3)
 	s.now = s.now.Add(2 * time.Second)
 	s.is.True(!s.failing())
 
 	t.Run("another start", func(t *testing.T) {
-		s := newShop(t, 3)
-		s.fail(1, 3)
+		s := newSlotFixture(t, 3)
+		s.failRequests(1, 3)
 
 		_, err := s.gate.Report(s.now, report(start.Add(time.Second), 1))
 		s.is.NoErr(err)
--- a/internal/coordination/gate/held.go
+++ b/internal/coordination/gate/held.go
@@ -6,37 +6,37 @@
 	"jayspindle/internal/state/flow"
 )
 
-type heldState uint8
+type flowState uint8
 
 const (
-	opening heldState = iota + 1 // the backend server was asked to accept
-	unsure                       // delivered without knowing whether the flow is held
-	open                         // the backend server has sent a packet of the flow
+	opening    flowState = iota + 1 // the opening packet was delivered and not answered yet
+	unverified                      // packets were delivered, but the backend server may not hold the flow
+	open                            // the backend server has sent a packet of the flow
 )
 
-// held is one flow of the backend server.
-type held struct {
-	state     heldState
-	confirmed bool // the client uses the flow: it is not a second acceptance that nobody wants
-	born      int64
-	forwarder flow.Endpoint
-	since     time.Time
-	last      time.Time
-	acked     uint32    // the last sequence number that the client acknowledged
-	waiting   time.Time // since when the client waits for an answer; zero if it does not
-	heard     bool      // data of the client was seen
-	end       uint32    // sequence number behind the data of the client
-	handed    time.Time // since when the backend server has the request; zero if it has none
-	request   *request  // that waits for a slot; nil if there is none
-	overdue   bool      // the backend server has not answered the opening packet in time
-	abandoned bool      // the client has closed the flow while its request waited
-	closing   [2]bool   // client, backend server
+// heldFlow is a flow that the gate tracks for the backend server.
+type heldFlow struct {
+	state        flowState
+	confirmed    bool // the client uses the flow, so it is not an unused duplicate at a second backend server
+	born         int64
+	forwarder    flow.Endpoint
+	addedAt      time.Time
+	lastPacket   time.Time
+	acked        uint32    // last sequence number that the client acknowledged
+	waitingSince time.Time // when the client sent its request; zero if no answer is outstanding
+	sawData      bool      // the client has sent data
+	nextSequence uint32    // sequence number after the last data of the client
+	handedOverAt time.Time // when the backend server got the current request; zero if it has none
+	request      *request  // request that waits for a slot; nil if there is none
+	overdue      bool      // the opening packet was not answered within acceptTimeout
+	abandoned    bool      // the client closed the flow while its request waited for a slot
+	closedBy     [2]bool   // indexed by side: 0 is the client, 1 the backend server
 }
 
-// isNew reports whether a packet has data that the client did not send before. A
-// repeated packet is no new request.
-func (h *held) isNew(header flow.Header) bool {
-	return header.Length > 0 && (!h.heard || int32(header.End()-h.end) > 0)
+// hasNewData reports whether a packet has data that the client has not sent before.
+// A retransmission is not a new request.
+func (h *heldFlow) hasNewData(header flow.Header) bool {
+	return header.Length > 0 && (!h.sawData || int32(header.End()-h.nextSequence) > 0)
 }
 
-func (h *held) closed() bool { return h.closing[0] && h.closing[1] }
+func (h *heldFlow) closed() bool { return h.closedBy[0] && h.closedBy[1] }
--- a/internal/coordination/gate/lost.go
+++ b/internal/coordination/gate/lost.go
@@ -6,20 +6,20 @@
 	"jayspindle/internal/state/flow"
 )
 
-// Orphan is a flow whose backend server has ended.
+// Orphan identifies a flow whose backend server has ended.
 type Orphan struct {
 	Key      flow.Key
-	Sequence uint32 // the last one that the client acknowledged
+	Sequence uint32 // last sequence number that the client acknowledged
 }
 
-// Orphans forgets the flows whose backend server has ended and returns those
-// that their clients should be told of. A client that learns it while the flow
-// is idle does not lose its next request.
+// Orphans removes the flows whose backend server has ended and returns those that
+// have to be reset at their clients. A client whose idle flow is reset does not
+// lose its next request on it.
 func (g *Gate) Orphans() []Orphan {
 	var orphans []Orphan
 
 	for key, h := range g.flows {
-		if (h.born == g.backend.born && g.backend.state != ended) || h.state == unsure {
+		if (h.born == g.backend.born && g.backend.state != ended) || h.state == unverified {
 			continue
 		}
 
@@ -27,7 +27,7 @@
 			orphans = append(orphans, Orphan{Key: key, Sequence: h.acked})
 		}
 
-		g.forget(key, h)
+		g.removeFlow(key, h)
 	}
 
 	g.counters.Resets += uint64(len(orphans))
@@ -35,7 +35,8 @@
 	return orphans
 }
 
-// Locate tells an entry instance whether the backend server holds a flow.
+// Locate answers the question of an entry instance whether the backend server holds
+// a flow.
 func (g *Gate) Locate(now time.Time, key flow.Key) flow.Answer {
 	h := g.flows[key]
 
@@ -44,27 +45,28 @@
 		return flow.Held
 	case h != nil && h.state == opening:
 		return flow.Unsure
-	case h == nil && !g.unsure(now):
+	case h == nil && !g.mayHoldUnseenFlows(now):
 		return flow.Absent
 	case h != nil && h.state == open:
-		return flow.Absent // of a backend server that has ended
+		return flow.Absent // held by a backend server that has ended
 	default:
 		return flow.Unsure
 	}
 }
 
-// unsure reports whether the backend server may hold flows that the gate has
-// not seen. One that has not reported in one and a half intervals since the gate
-// started is not there: it repeats a report that failed sooner.
-func (g *Gate) unsure(now time.Time) bool {
+// mayHoldUnseenFlows reports whether the backend server may hold flows that the
+// gate has not seen. If there was no report within one and a half intervals after
+// the gate started, there is no backend server: it would have retried a failed
+// report by then.
+func (g *Gate) mayHoldUnseenFlows(now time.Time) bool {
 	running := now.Sub(g.config.Boot)
 
 	switch g.backend.state {
-	case unheard:
+	case unreported:
 		return running < g.config.ReportInterval*3/2
 	case ended:
 		return false
 	default:
-		return !g.backend.watched && running < learned
+		return !g.backend.seenFromStart && running < learningWindow
 	}
 }
--- a/internal/coordination/gate/queue.go
+++ b/internal/coordination/gate/queue.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	// maxHeld bounds the packets of a request that waits: a sender has at most
-	// 16 in flight.
-	maxHeld = 16
+	// maxHeldPackets limits the packets kept for a waiting request. A sender has at
+	// most 16 in flight.
+	maxHeldPackets = 16
 
-	// timeWeight is the share of a new sample in the average time of a request.
-	timeWeight = 0.1
+	// serviceTimeWeight is the weight of a new sample in the average service time.
+	serviceTimeWeight = 0.1
 
-	// margin is how many average times a request must have left of its aim to
-	// count as one that can still meet it. Times vary by about half.
-	margin = 1.5
+	// serviceTimeMargin is multiplied with the average service time to decide
+	// whether a request can still meet its aim. Service times vary by about half.
+	serviceTimeMargin = 1.5
 
-	// fairTurn lets every fourth request that starts come from another priority
-	// than the most urgent one that waits.
-	fairTurn = 4
+	// fairnessInterval makes every fourth request that starts come from another
+	// priority than the most urgent waiting one.
+	fairnessInterval = 4
 )
 
-// request is one that waits for a slot of the backend server.
+// request is a request that waits for a slot of the backend server.
 type request struct {
-	key     flow.Key
-	route   *route.Route
-	arrived time.Time
-	packets [][]byte
-	kept    []uint32 // sequence numbers of the packets
+	key       flow.Key
+	route     *route.Route
+	arrived   time.Time
+	packets   [][]byte
+	sequences []uint32 // sequence numbers of the packets
 }
 
-// keep keeps a copy of a packet, unless the client has only repeated it.
-func (q *request) keep(sequence uint32, packet []byte) {
-	if len(q.packets) < maxHeld && !slices.Contains(q.kept, sequence) {
-		q.packets, q.kept = append(q.packets, bytes.Clone(packet)), append(q.kept, sequence)
+// addPacket stores a copy of a packet, unless it is a retransmission.
+func (q *request) addPacket(sequence uint32, packet []byte) {
+	if len(q.packets) < maxHeldPackets && !slices.Contains(q.sequences, sequence) {
+		q.packets, q.sequences = append(q.packets, bytes.Clone(packet)), append(q.sequences, sequence)
 	}
 }
 
-// rank is how well a request can still be served: 0 if it can meet the aim of its
-// route, 2 if its client has probably given up. Took is what it needs.
-func (q *request) rank(now time.Time, took time.Duration) int {
+// rank classifies a request by whether it can still be served in time: 0 if it can
+// meet the aim of its route, 2 if its client has probably given up, 1 otherwise.
+func (q *request) rank(now time.Time, serviceTime time.Duration) int {
 	switch waited := now.Sub(q.arrived); {
-	case waited+took <= q.route.Aim:
+	case waited+serviceTime <= q.route.Aim:
 		return 0
 	case waited < q.route.Timeout:
 		return 1
@@ -57,51 +57,51 @@
 
 // queue orders the requests that wait for a slot.
 //
-// The order is made for bursts, and for the moment after a fault at which all
-// clients send again what they have waited with. The backlog then takes seconds,
-// and in the order of arrival each request would wait for all of it: every one
-// would be late. So requests that can still meet the aim of their route go first, and what is late
-// already takes the slots that are left. As long as anything is late, the newest
-// go first (adaptive LIFO: Maurer, "Fail at Scale", 2015), because those that
-// have waited longest would only just miss their aim. The request of a client
-// that closes its flow meanwhile is dropped, as with the abort-on-close of other
-// load balancers.
+// The order is designed for bursts, in particular after a fault, when all clients
+// send their delayed requests at once. Such a backlog takes seconds to serve. In
+// order of arrival each request would wait for the whole backlog, and all of them
+// would be late. So requests that can still meet the aim of their route go first,
+// and late requests get the remaining slots. As long as any request is late, the
+// newest go first (adaptive LIFO: Maurer, "Fail at Scale", 2015), because those
+// that have waited longest would only just miss their aim. The request of a client
+// that closes its flow while waiting is dropped, like abort-on-close in other load
+// balancers.
 type queue struct {
-	waiting    []*request
-	times      map[flow.Endpoint]time.Duration // average from hand-over to answer, by route
-	overloaded bool                            // something waits that cannot meet its aim any more
-	turn       int
+	waiting      []*request
+	serviceTimes map[flow.Endpoint]time.Duration // average from handover to answer, by service address
+	overloaded   bool                            // a waiting request can no longer meet its aim
+	turns        int
 }
 
-func newQueue() queue { return queue{times: make(map[flow.Endpoint]time.Duration)} }
+func newQueue() queue { return queue{serviceTimes: make(map[flow.Endpoint]time.Duration)} }
 
-// ran takes the time of a request into account.
-func (q *queue) ran(service flow.Endpoint, took time.Duration) {
-	known, ok := q.times[service]
+// observeServiceTime adds the service time of a request to the average of its route.
+func (q *queue) observeServiceTime(service flow.Endpoint, serviceTime time.Duration) {
+	average, ok := q.serviceTimes[service]
 	if !ok {
-		q.times[service] = took
+		q.serviceTimes[service] = serviceTime
 
 		return
 	}
 
-	q.times[service] = known + time.Duration(timeWeight*float64(took-known))
+	q.serviceTimes[service] = average + time.Duration(serviceTimeWeight*float64(serviceTime-average))
 }
 
 func (q *queue) push(r *request) { q.waiting = append(q.waiting, r) }
 
-// remove drops the request of a flow.
+// remove removes a request from the queue.
 func (q *queue) remove(r *request) {
-	if place := slices.Index(q.waiting, r); place >= 0 {
-		q.waiting = slices.Delete(q.waiting, place, place+1)
+	if index := slices.Index(q.waiting, r); index >= 0 {
+		q.waiting = slices.Delete(q.waiting, index, index+1)
 	}
 }
 
-// rank returns the rank of a request, with a margin for those that take longer.
+// rank returns the rank of a request, with a margin for slower than average ones.
 func (q *queue) rank(now time.Time, r *request) int {
-	return r.rank(now, time.Duration(margin*float64(q.times[r.key.Service])))
+	return r.rank(now, time.Duration(serviceTimeMargin*float64(q.serviceTimes[r.key.Service])))
 }
 
-// pop returns the request that gets the next slot, or nil.
+// pop removes and returns the request that gets the next slot, or nil.
 func (q *queue) pop(now time.Time) *request {
 	q.overloaded = slices.ContainsFunc(q.waiting, func(r *request) bool { return q.rank(now, r) > 0 })
 
@@ -110,10 +110,10 @@
 		return nil
 	}
 
-	if q.turn++; q.turn >= fairTurn {
-		q.turn = 0
+	if q.turns++; q.turns >= fairnessInterval {
+		q.turns = 0
 
-		// Without it a flood of urgent requests would stop all others.
+		// Without this a flood of urgent requests would starve all others.
 		other := q.best(now, func(r *request) bool { return r.route.Priority != best.route.Priority })
 		if other != nil {
 			best = other
@@ -125,7 +125,7 @@
 	return best
 }
 
-// best returns the request that goes before all others that are wanted, or nil.
+// best returns the first request in queue order among those that are wanted, or nil.
 func (q *queue) best(now time.Time, wanted func(r *request) bool) *request {
 	var best *request
 
@@ -138,13 +138,13 @@
 	return best
 }
 
-// before reports whether a request goes before another one.
+// before reports whether request a is served before request b.
 func (q *queue) before(now time.Time, a, b *request) bool {
-	rank, other := q.rank(now, a), q.rank(now, b)
+	rank, otherRank := q.rank(now, a), q.rank(now, b)
 
 	switch {
-	case rank != other:
-		return rank < other
+	case rank != otherRank:
+		return rank < otherRank
 	case a.route.Priority != b.route.Priority:
 		return a.route.Priority < b.route.Priority
 	case q.overloaded:
--- a/internal/coordination/gate/queue_test.go
+++ b/internal/coordination/gate/queue_test.go
@@ -23,19 +23,19 @@
 	normal = key.Service
 )
 
-// shop is a gate with a backend server of some slots, and flows that are open.
-type shop struct {
+// slotFixture is a gate whose backend server has a limited number of slots.
+type slotFixture struct {
 	*testing.T
-	is   *is.I
-	now  time.Time
-	gate *gate.Gate
-	ends map[flow.Key]uint32 // sequence numbers behind the requests so far
+	is            *is.I
+	now           time.Time
+	gate          *gate.Gate
+	nextSequences map[flow.Key]uint32 // by open flow: sequence number of the next request
 }
 
-func newShop(t *testing.T, slots uint16) *shop {
+func newSlotFixture(t *testing.T, slots uint16) *slotFixture {
 	t.Helper()
 
-	s := &shop{T: t, is: is.New(t), now: start, ends: make(map[flow.Key]uint32)}
+	s := &slotFixture{T: t, is: is.New(t), now: start, nextSequences: make(map[flow.Key]uint32)}
 	s.gate = gate.New(gate.Config{Service: "desk", Boot: start, ReportInterval: time.Hour}, func(time.Duration) {})
 
 	table, err := route.New(&route.Document{Version: 1, Services: []string{"desk"}, Routes: []route.Route{
@@ -72,38 +72,38 @@
 	return h
 }
 
-func (s *shop) fromClient(key flow.Key, h flow.Header) gate.Kind {
+func (s *slotFixture) fromClient(key flow.Key, h flow.Header) gate.Kind {
 	return s.gate.FromClient(s.now, forwarder, header(key, h), []byte(key.String())).Kind
 }
 
-func (s *shop) fromBackend(key flow.Key, h flow.Header) {
+func (s *slotFixture) fromBackend(key flow.Key, h flow.Header) {
 	h.Source, h.Destination = key.Service, key.Client
 	s.gate.FromBackend(s.now, h)
 }
 
-// ask opens a flow if need be, and sends a request on it. It reports whether the
-// request was handed over at once.
-func (s *shop) ask(key flow.Key) bool {
-	if _, ok := s.ends[key]; !ok {
+// sendRequest sends a request on a flow, which it opens first if necessary. It
+// reports whether the request was handed over at once.
+func (s *slotFixture) sendRequest(key flow.Key) bool {
+	if _, ok := s.nextSequences[key]; !ok {
 		s.fromClient(key, opens)
 		s.fromBackend(key, accepts)
 	}
 
-	request := flow.Header{Acks: true, Sequence: s.ends[key], Length: 100}
-	s.ends[key] = request.End()
+	request := flow.Header{Acks: true, Sequence: s.nextSequences[key], Length: 100}
+	s.nextSequences[key] = request.End()
 
 	return s.fromClient(key, request) == gate.Deliver
 }
 
-// answer lets the backend server answer, and returns the clients whose requests
-// get the slot.
-func (s *shop) answer(key flow.Key) []flow.Key {
+// answer lets the backend server answer, and returns the flows whose waiting
+// requests get the slot.
+func (s *slotFixture) answer(key flow.Key) []flow.Key {
 	s.fromBackend(key, answer)
 
 	return s.started()
 }
 
-func (s *shop) started() []flow.Key {
+func (s *slotFixture) started() []flow.Key {
 	var keys []flow.Key
 
 	for _, started := range s.gate.Start(s.now) {
@@ -114,30 +114,30 @@
 	return keys
 }
 
-// TestSlots guards against requests that wait although a slot is free, that run
-// beyond the slots, and that are lost while they wait.
+// TestSlots guards against requests that wait although a slot is free, that
+// exceed the number of slots, or that are lost while they wait.
 func TestSlots(t *testing.T) {
-	s := newShop(t, 2)
+	s := newSlotFixture(t, 2)
 	a, b, c := client(1, normal), client(2, normal), client(3, normal)
 
-	s.is.True(s.ask(a))
-	s.is.True(s.ask(b))
-	s.is.True(!s.ask(c))
+	s.is.True(s.sendRequest(a))
+	s.is.True(s.sendRequest(b))
+	s.is.True(!s.sendRequest(c))
 	s.is.Equal(len(s.started()), 0)
 	s.is.Equal(s.answer(a), []flow.Key{c})
 	s.is.Equal(len(s.answer(b)), 0)
-	s.is.True(s.ask(a))
+	s.is.True(s.sendRequest(a))
 }
 
-// TestRepeated guards against a repeated packet that counts as another request:
-// its slot would stay taken, and the next requests would wait and be repeated in
-// turn.
+// TestRepeated guards against counting a retransmission as another request: its
+// slot would never be freed, and the next requests would wait and be retransmitted
+// in turn.
 func TestRepeated(t *testing.T) {
-	s := newShop(t, 1)
+	s := newSlotFixture(t, 1)
 	a, b := client(1, normal), client(2, normal)
 
-	s.is.True(s.ask(a))
-	s.is.True(!s.ask(b))
+	s.is.True(s.sendRequest(a))
+	s.is.True(!s.sendRequest(b))
 
 	repeated := flow.Header{Acks: true, Length: 100}
 	s.is.Equal(s.fromClient(b, repeated), gate.Hold)
@@ -145,30 +145,31 @@
 	s.is.Equal(len(s.answer(b)), 0)
 
 	s.is.Equal(s.fromClient(b, repeated), gate.Deliver) // the backend server acknowledges it
-	s.is.True(s.ask(a))
+	s.is.True(s.sendRequest(a))
 }
 
-// TestLeft guards against work for clients that have left: it would take slots
-// from others, and a request that must not be repeated would run unseen.
+// TestLeft guards against running requests of clients that have given up: they
+// would take slots from others, and a request that must not run twice could run
+// without its client knowing.
 func TestLeft(t *testing.T) {
 	t.Run("reset", func(t *testing.T) {
-		s := newShop(t, 1)
+		s := newSlotFixture(t, 1)
 		a, b := client(1, normal), client(2, normal)
-		s.ask(a)
-		s.ask(b)
+		s.sendRequest(a)
+		s.sendRequest(b)
 		s.fromClient(b, flow.Header{Reset: true})
 		s.is.Equal(len(s.answer(a)), 0)
 	})
 
 	t.Run("close", func(t *testing.T) {
-		s := newShop(t, 1)
+		s := newSlotFixture(t, 1)
 		a, b := client(1, normal), client(2, normal)
-		s.ask(a)
-		s.ask(b)
+		s.sendRequest(a)
+		s.sendRequest(b)
 
 		s.is.Equal(s.fromClient(b, flow.Header{Acks: true, Sequence: 100, Close: true}), gate.Drop)
 		s.is.Equal(len(s.answer(a)), 0)
-		s.is.Equal(s.fromClient(b, flow.Header{Acks: true, Length: 100}), gate.Drop) // repeated
+		s.is.Equal(s.fromClient(b, flow.Header{Acks: true, Length: 100}), gate.Drop) // retransmitted
 		s.is.Equal(s.gate.Counters().Abandoned, uint64(1))
 		s.is.Equal(s.gate.Load(s.now).Waiting, uint16(0))
 
@@ -179,52 +180,52 @@
 	})
 
 	t.Run("close while it runs", func(t *testing.T) {
-		s := newShop(t, 1)
+		s := newSlotFixture(t, 1)
 		a, b := client(1, normal), client(2, normal)
-		s.ask(a)
-		s.ask(b)
+		s.sendRequest(a)
+		s.sendRequest(b)
 		s.fromClient(a, flow.Header{Acks: true, Sequence: 100, Close: true})
 		s.is.Equal(s.started(), []flow.Key{b})
 	})
 
 	t.Run("timeout", func(t *testing.T) {
-		s := newShop(t, 1)
+		s := newSlotFixture(t, 1)
 		a, b, c := client(1, normal), client(2, normal), client(3, normal)
-		s.ask(a)
-		s.ask(b)
+		s.sendRequest(a)
+		s.sendRequest(b)
 
 		s.now = s.now.Add(timeout)
-		s.ask(c)
+		s.sendRequest(c)
 		s.now = s.now.Add(timeout / 2)
-		s.is.Equal(s.started(), []flow.Key{c}) // nobody knows that b is not wanted any more
+		s.is.Equal(s.started(), []flow.Key{c}) // b has timed out, but its client has not closed the flow
 		s.is.Equal(s.answer(c), []flow.Key{b})
 	})
 }
 
-// TestNoAnswer guards against slots that are taken for good by requests whose
-// answers never come.
+// TestNoAnswer guards against slots that are never freed because their requests
+// are not answered.
 func TestNoAnswer(t *testing.T) {
-	s := newShop(t, 1)
+	s := newSlotFixture(t, 1)
 	a, b := client(1, normal), client(2, normal)
-	s.ask(a)
-	s.ask(b)
+	s.sendRequest(a)
+	s.sendRequest(b)
 
 	s.now = s.now.Add(600 * time.Millisecond)
 	s.is.Equal(s.started(), []flow.Key{b})
 }
 
-// TestOrder guards against urgent work that waits behind other work, and against
-// other work that never runs while urgent work floods in.
+// TestOrder guards against urgent requests that wait behind others, and against
+// others that starve during a flood of urgent requests.
 func TestOrder(t *testing.T) {
-	s := newShop(t, 1)
+	s := newSlotFixture(t, 1)
 	running := client(0, urgent)
-	s.ask(running)
+	s.sendRequest(running)
 
 	for number := 1; number <= 8; number++ {
-		s.ask(client(number, urgent))
+		s.sendRequest(client(number, urgent))
 	}
 
-	s.ask(client(9, normal))
+	s.sendRequest(client(9, normal))
 
 	var order []flow.Endpoint
 
@@ -245,73 +246,75 @@
 	key flow.Key
 }
 
-// finish is a request that the backend server works on.
-type finish struct {
+// runningRequest is a request that the backend server works on.
+type runningRequest struct {
 	at  time.Duration
 	key flow.Key
 }
 
-type finishes []finish
+type finishHeap []runningRequest
 
-func (f finishes) Len() int           { return len(f) }
-func (f finishes) Less(i, j int) bool { return f[i].at < f[j].at }
-func (f finishes) Swap(i, j int)      { f[i], f[j] = f[j], f[i] }
-func (f *finishes) Push(x any)        { *f = append(*f, x.(finish)) }
+func (f finishHeap) Len() int           { return len(f) }
+func (f finishHeap) Less(i, j int) bool { return f[i].at < f[j].at }
+func (f finishHeap) Swap(i, j int)      { f[i], f[j] = f[j], f[i] }
+func (f *finishHeap) Push(x any)        { *f = append(*f, x.(runningRequest)) }
 
-func (f *finishes) Pop() any {
+func (f *finishHeap) Pop() any {
 	last := (*f)[len(*f)-1]
 	*f = (*f)[:len(*f)-1]
 
 	return last
 }
 
-// replay plays arrivals against a backend server that takes the given time for
-// each request, and returns how long each of them waited for its answer.
-func (s *shop) replay(arrivals []arrival, work time.Duration) map[flow.Key]time.Duration {
-	var running finishes
+// replay simulates the arrivals against a backend server with the given service
+// time, and returns how long each request waited for its answer.
+func (s *slotFixture) replay(arrivals []arrival, serviceTime time.Duration) map[flow.Key]time.Duration {
+	var running finishHeap
 
-	begun, took := map[flow.Key]time.Duration{}, map[flow.Key]time.Duration{}
-	begin := func(at time.Duration, key flow.Key) { heap.Push(&running, finish{at: at + work, key: key}) }
+	arrivedAt, waited := map[flow.Key]time.Duration{}, map[flow.Key]time.Duration{}
+	begin := func(at time.Duration, key flow.Key) {
+		heap.Push(&running, runningRequest{at: at + serviceTime, key: key})
+	}
 
 	for len(arrivals) > 0 || len(running) > 0 {
 		if len(running) == 0 || (len(arrivals) > 0 && arrivals[0].at <= running[0].at) {
 			next := arrivals[0]
 			arrivals = arrivals[1:]
 			s.now = start.Add(next.at)
-			begun[next.key] = next.at
+			arrivedAt[next.key] = next.at
 
-			if s.ask(next.key) {
+			if s.sendRequest(next.key) {
 				begin(next.at, next.key)
 			}
 
 			continue
 		}
 
-		done, _ := heap.Pop(&running).(finish)
+		done, _ := heap.Pop(&running).(runningRequest)
 		s.now = start.Add(done.at)
-		took[done.key] = done.at - begun[done.key]
+		waited[done.key] = done.at - arrivedAt[done.key]
 
 		for _, key := range s.answer(done.key) {
 			begin(done.at, key)
 		}
 	}
 
-	return took
+	return waited
 }
 
-// TestBacklog replays the moment after the loss of all instances: clients repeat
-// what they have waited with, new requests arrive at 70% of what the backend
-// server can do, and it is cold. In the order of arrival every request of the
-// next second waits for the whole backlog. The target of the deployments is a
-// worth of 0.88 on days with trouble.
+// TestBacklog guards against a backlog that delays all new requests, as after the
+// loss of all instances: clients send their delayed requests at once, new requests
+// arrive at 70% of the backend server's capacity, and it is cold. In order of
+// arrival every request of the next second would wait for the whole backlog. The
+// target of the deployments is a score of 0.88 on days with faults.
 func TestBacklog(t *testing.T) {
 	const (
-		slots   = 3
-		work    = 38 * time.Millisecond // 24 ms on average, 1.6 times as long while cold
-		backlog = 80
-		every   = 18 * time.Millisecond
-		fresh   = 110
-		target  = 0.88
+		slots           = 3
+		serviceTime     = 38 * time.Millisecond // 24 ms on average, 1.6 times as long while cold
+		backlog         = 80
+		arrivalInterval = 18 * time.Millisecond
+		newRequests     = 110
+		target          = 0.88
 	)
 
 	var arrivals []arrival
@@ -320,32 +323,32 @@
 		arrivals = append(arrivals, arrival{at: time.Duration(number) * time.Millisecond, key: client(number, normal)})
 	}
 
-	for number := range fresh {
+	for number := range newRequests {
 		arrivals = append(arrivals, arrival{
-			at: backlog*time.Millisecond + time.Duration(number)*every, key: client(backlog+number, normal),
+			at: backlog*time.Millisecond + time.Duration(number)*arrivalInterval, key: client(backlog+number, normal),
 		})
 	}
 
-	took := newShop(t, slots).replay(arrivals, work)
+	waits := newSlotFixture(t, slots).replay(arrivals, serviceTime)
 
-	punctual, inOrder := 0, 0
+	onTime, onTimeInOrder := 0, 0
 
-	for number := range fresh {
+	for number := range newRequests {
 		key := client(backlog+number, normal)
-		if waited, ok := took[key]; ok && waited <= aim {
-			punctual++
+		if waited, ok := waits[key]; ok && waited <= aim {
+			onTime++
 		}
 
-		// In the order of arrival the request starts when all before it have run.
-		started := time.Duration((backlog+number)/slots) * work
-		if started+work-arrivals[backlog+number].at <= aim {
-			inOrder++
+		// In order of arrival a request starts when all earlier ones have run.
+		started := time.Duration((backlog+number)/slots) * serviceTime
+		if started+serviceTime-arrivals[backlog+number].at <= aim {
+			onTimeInOrder++
 		}
 	}
 
-	t.Logf("%d of %d new requests meet their aim, %d in the order of arrival", punctual, fresh, inOrder)
+	t.Logf("%d of %d new requests meet their aim, %d in the order of arrival", onTime, newRequests, onTimeInOrder)
 
-	if share := float64(punctual) / fresh; share < target {
+	if share := float64(onTime) / newRequests; share < target {
 		t.Fatalf("%.2f of the new requests met their aim, the target is %.2f", share, target)
 	}
 }
--- a/internal/coordination/gate/requests.go
+++ b/internal/coordination/gate/requests.go
@@ -6,80 +6,80 @@
 	"jayspindle/internal/state/flow"
 )
 
-// runLimit is how long a request counts as running without an answer. It is
-// above the longest work in the deployments, so that a request whose answer
-// never comes does not keep its slot from others.
-const runLimit = 500 * time.Millisecond
-
-// clientSent notes what a packet of the client does to its flow, and returns
-// whether it is delivered now.
-func (g *Gate) clientSent(now time.Time, key flow.Key, h *held, header flow.Header, packet []byte) Kind {
+// answerTimeout is how long a request without an answer counts as running. It exceeds
+// the longest service time in the deployments. It frees the slot of a request that
+// is never answered.
+const answerTimeout = 500 * time.Millisecond
+
+// handleClientPacket updates the flow of a packet from the client and returns what
+// to do with the packet.
+func (g *Gate) handleClientPacket(now time.Time, key flow.Key, h *heldFlow, header flow.Header, packet []byte) Kind {
 	kind := Deliver
 
 	switch {
 	case header.Reset:
-		g.forget(key, h)
+		g.removeFlow(key, h)
 
 		return Deliver
 	case h.abandoned:
 		return Drop
 	case h.request != nil && header.Close:
-		g.abandon(h)
+		g.abandonRequest(h)
 
 		kind = Drop
 	case h.request != nil && header.Length > 0:
-		h.request.keep(header.Sequence, packet)
+		h.request.addPacket(header.Sequence, packet)
 
 		kind = Hold
-	case h.isNew(header) && h.waiting.IsZero():
-		h.waiting = now
-		g.waiting++
+	case h.hasNewData(header) && h.waitingSince.IsZero():
+		h.waitingSince = now
+		g.waitingFlows++
 
-		kind = g.asks(now, key, h, header.Sequence, packet)
+		kind = g.admitRequest(now, key, h, header.Sequence, packet)
 	}
 
-	if h.isNew(header) {
-		h.heard, h.end = true, header.End()
+	if h.hasNewData(header) {
+		h.sawData, h.nextSequence = true, header.End()
 	}
 
-	// A client that closes while its request runs does not want the answer any
-	// more, and the backend server may not give one.
+	// A client that closes while its request runs no longer wants the answer, and
+	// the backend server may not send one.
 	if header.Close {
-		g.done(h)
-		g.closes(h, 0)
+		g.finishRequest(h)
+		g.markClosed(h, 0)
 	}
 
 	return kind
 }
 
-// answered notes the first packet of an answer.
-func (g *Gate) answered(now time.Time, key flow.Key, h *held) {
-	g.observe(now.Sub(h.waiting))
+// recordAnswer records the first packet of an answer.
+func (g *Gate) recordAnswer(now time.Time, key flow.Key, h *heldFlow) {
+	g.observeWait(now.Sub(h.waitingSince))
 
-	if !h.handed.IsZero() {
-		g.queue.ran(key.Service, now.Sub(h.handed))
+	if !h.handedOverAt.IsZero() {
+		g.queue.observeServiceTime(key.Service, now.Sub(h.handedOverAt))
 		g.health.observe(now, false)
 	}
 
-	g.done(h)
-	h.waiting = time.Time{}
-	g.waiting--
+	g.finishRequest(h)
+	h.waitingSince = time.Time{}
+	g.waitingFlows--
 }
 
-// Started is a request that gets a slot of the backend server.
+// Started is a queued request that has got a slot of the backend server.
 type Started struct {
 	Key     flow.Key
 	Packets [][]byte
 	Waited  time.Duration
 }
 
-// Start returns the requests that get a slot now.
+// Start returns the queued requests that get a slot now.
 func (g *Gate) Start(now time.Time) []Started {
 	var started []Started
 
-	g.expireAnswers(now)
+	g.expireOverdue(now)
 
-	for g.free() {
+	for g.hasFreeSlot() {
 		next := g.queue.pop(now)
 		if next == nil {
 			break
@@ -87,7 +87,7 @@
 
 		h := g.flows[next.key]
 		h.request = nil
-		g.hand(now, h)
+		g.startRequest(now, h)
 
 		started = append(started, Started{Key: next.key, Packets: next.packets, Waited: now.Sub(next.arrived)})
 	}
@@ -95,73 +95,77 @@
 	return started
 }
 
-// free reports whether the backend server has a slot for another request.
-func (g *Gate) free() bool { return g.backend.slots == 0 || g.running < int(g.backend.slots) }
+// hasFreeSlot reports whether the backend server has a slot for another request.
+func (g *Gate) hasFreeSlot() bool {
+	return g.backend.slots == 0 || g.runningRequests < int(g.backend.slots)
+}
 
-// hand notes that the backend server gets the request of a flow.
-func (g *Gate) hand(now time.Time, h *held) {
-	h.handed = now
-	g.running++
+// startRequest records that the request of a flow is handed to the backend server.
+func (g *Gate) startRequest(now time.Time, h *heldFlow) {
+	h.handedOverAt = now
+	g.runningRequests++
 }
 
-// done notes that the request of a flow does not run any more.
-func (g *Gate) done(h *held) {
-	if !h.handed.IsZero() {
-		h.handed = time.Time{}
-		g.running--
+// finishRequest records that the request of a flow no longer runs. It does nothing if
+// none does.
+func (g *Gate) finishRequest(h *heldFlow) {
+	if !h.handedOverAt.IsZero() {
+		h.handedOverAt = time.Time{}
+		g.runningRequests--
 	}
 }
 
-// asks decides about the first packet of a request: it is handed over, or waits
-// for a slot.
-func (g *Gate) asks(now time.Time, key flow.Key, h *held, sequence uint32, packet []byte) Kind {
+// admitRequest decides about the first packet of a request: the request is handed
+// over, or waits for a slot.
+func (g *Gate) admitRequest(now time.Time, key flow.Key, h *heldFlow, sequence uint32, packet []byte) Kind {
 	target, ok := g.table.Find(key.Service)
-	if !ok || h.state != open || g.free() {
-		g.hand(now, h)
+	if !ok || h.state != open || g.hasFreeSlot() {
+		g.startRequest(now, h)
 
 		return Deliver
 	}
 
 	h.request = &request{key: key, route: target, arrived: now}
-	h.request.keep(sequence, packet)
+	h.request.addPacket(sequence, packet)
 	g.queue.push(h.request)
 	g.counters.Held++
 
 	return Hold
 }
 
-// expireAnswers stops counting the requests whose answers are overdue. The
-// backend server is to blame for them, and for opening packets without an answer.
-func (g *Gate) expireAnswers(now time.Time) {
-	if now.Sub(g.checked) < acceptLimit {
+// expireOverdue stops counting requests whose answers are overdue as running. They
+// count as failures of the backend server, and so do unanswered opening packets.
+func (g *Gate) expireOverdue(now time.Time) {
+	if now.Sub(g.lastExpiry) < acceptTimeout {
 		return
 	}
 
-	g.checked = now
+	g.lastExpiry = now
 
 	for _, h := range g.flows {
 		switch {
-		case !h.handed.IsZero() && now.Sub(h.handed) > runLimit:
-			g.done(h)
+		case !h.handedOverAt.IsZero() && now.Sub(h.handedOverAt) > answerTimeout:
+			g.finishRequest(h)
 			g.health.observe(now, true)
-		case h.state == opening && !h.overdue && now.Sub(h.since) > acceptLimit:
+		case h.state == opening && !h.overdue && now.Sub(h.addedAt) > acceptTimeout:
 			h.overdue = true
 			g.health.observe(now, true)
 		}
 	}
 }
 
-// abandon drops the request that waits in a flow whose client has closed it. What
-// the client repeats of it is dropped too: the request must not run unseen.
-func (g *Gate) abandon(h *held) {
+// abandonRequest drops the waiting request of a flow that its client has closed.
+// Retransmissions of it are dropped too, so that it does not run after the client
+// has given up on it.
+func (g *Gate) abandonRequest(h *heldFlow) {
 	g.dropRequest(h)
 
 	h.abandoned = true
 	g.counters.Abandoned++
 }
 
-// dropRequest drops the request that waits in a flow.
-func (g *Gate) dropRequest(h *held) {
+// dropRequest removes the waiting request of a flow, if any, from the queue.
+func (g *Gate) dropRequest(h *heldFlow) {
 	if h.request == nil {
 		return
 	}
@@ -169,8 +173,8 @@
 	g.queue.remove(h.request)
 	h.request = nil
 
-	if !h.waiting.IsZero() {
-		h.waiting = time.Time{}
-		g.waiting--
+	if !h.waitingSince.IsZero() {
+		h.waitingSince = time.Time{}
+		g.waitingFlows--
 	}
 }
