--- a/internal/coordination/steering/entry.go
+++ b/internal/coordination/steering/entry.go
@@ -7,50 +7,50 @@
 	"jayspindle/internal/state/flow"
 )
 
-// entryState is what a router knows of the place of a flow.
+// entryState is the state of a flow in the flow table.
 type entryState uint8
 
 const (
-	opening   entryState = iota + 1 // an agent was asked to open the flow
-	settled                         // the agent holds the flow
-	searching                       // agents are asked who holds the flow
-	lost                            // every agent has denied the flow
-	unknown                         // the last search was not conclusive
+	opening      entryState = iota + 1 // an agent was offered the flow and has not accepted it yet
+	assigned                           // the agent holds the flow
+	searching                          // agents are being asked whether they hold the flow
+	lost                               // every agent has denied holding the flow
+	inconclusive                       // the last search could not prove that the flow is lost
 )
 
-// entry is one flow of a router.
+// entry is one flow in the flow table.
 type entry struct {
-	state entryState
-	agent flow.Endpoint
-	last  time.Time // last packet
-	// denied are the agents that have said that they do not hold the flow. A
-	// flow does not come to an agent later, so they are not asked again.
-	denied []flow.Endpoint
-	until  time.Time // when the result of a search without success is forgotten
-
-	*pending // nil once the flow is settled
+	state      entryState
+	agent      flow.Endpoint
+	lastPacket time.Time
+	// denied are the agents that do not hold the flow according to their answers.
+	// A flow never moves to an agent later, so they are not asked again.
+	denied        []flow.Endpoint
+	resultExpires time.Time // when the result of an unsuccessful search expires
+
+	*pending // nil once the flow is assigned or its search has ended
 }
 
-// pending is what a router keeps of a flow until its place is known.
+// pending is the additional state of a flow whose agent is not known yet.
 type pending struct {
-	due          time.Time
+	deadline     time.Time
 	packets      [][]byte // in the order of arrival
 	acknowledged uint32   // by the last packet of the client
 	tried        []flow.Endpoint
-	awaited      []flow.Endpoint // agents that were asked and have not answered
+	awaiting     []flow.Endpoint // agents that were asked and have not answered
 	unsure       []flow.Endpoint // agents that may hold the flow
-	expires      time.Time       // when the client stops waiting for its flow to open
+	openDeadline time.Time       // when the client gives up on opening the flow
 	offers       int             // agents that got the first packet and may still answer
-	asked        bool            // the likely agents were asked
-	probing      bool            // an unsure agent has the packets
-	silent       bool            // an agent did not answer
+	askedLikely  bool            // the likely agents have been asked
+	probing      bool            // the packets were sent to an unsure agent
+	incomplete   bool            // an agent was not asked or did not answer, so the flow is not certain to be lost
 }
 
-// keep keeps a copy of a packet, because the buffer belongs to the caller.
-func (p *pending) keep(header flow.Header, packet []byte) {
+// addPacket stores a copy of a packet, because the caller reuses the buffer.
+func (p *pending) addPacket(header flow.Header, packet []byte) {
 	p.acknowledged = header.Acknowledged
 
-	if len(p.packets) < maxKept {
+	if len(p.packets) < maxKeptPackets {
 		p.packets = append(p.packets, bytes.Clone(packet))
 	}
 }
--- a/internal/coordination/steering/fixture_test.go
+++ b/internal/coordination/steering/fixture_test.go
@@ -18,15 +18,15 @@
 	service = flow.Endpoint{IP: [4]byte{198, 51, 100, 1}, Port: 443}
 )
 
-// world is a router with a document and agents.
-type world struct {
+// fixture is a router with a document and a list of agents.
+type fixture struct {
 	*testing.T
 	is     *is.I
 	now    time.Time
 	router *steering.Router
 	flows  map[flow.Endpoint]uint16 // open flows of each agent
 
-	questions map[flow.Endpoint]uint32 // the last one to each agent
+	questions map[flow.Endpoint]uint32 // ID of the last question to each agent
 }
 
 func table(t *testing.T, version uint64, routes ...route.Route) *route.Table {
@@ -59,16 +59,16 @@
 	return records
 }
 
-func newWorld(t *testing.T, count int) *world {
+func newFixture(t *testing.T, count int) *fixture {
 	t.Helper()
 
 	router := steering.New(steering.Config{Boot: start})
-	w := &world{T: t, is: is.New(t), now: start, router: router, flows: map[flow.Endpoint]uint16{}}
-	w.router.Follow(table(t, 1, toService("desk")))
-	w.router.Apply(w.now, agents(count, roster.Ready), true)
-	w.router.Confirm(start)
+	f := &fixture{T: t, is: is.New(t), now: start, router: router, flows: map[flow.Endpoint]uint16{}}
+	f.router.Follow(table(t, 1, toService("desk")))
+	f.router.Apply(f.now, agents(count, roster.Ready), true)
+	f.router.Confirm(start)
 
-	return w
+	return f
 }
 
 func client(number int) flow.Key {
@@ -79,65 +79,65 @@
 	}
 }
 
-func opening(key flow.Key) flow.Header {
+func openHeader(key flow.Key) flow.Header {
 	return flow.Header{Source: key.Client, Destination: key.Service, Open: true}
 }
 
-func request(key flow.Key, acknowledged uint32) flow.Header {
+func requestHeader(key flow.Key, acknowledged uint32) flow.Header {
 	return flow.Header{Source: key.Client, Destination: key.Service, Acks: true, Acknowledged: acknowledged, Length: 10}
 }
 
-// open opens a flow and returns the agent that holds it.
-func (w *world) open(key flow.Key) flow.Endpoint {
-	w.Helper()
+// openFlow opens a flow and returns the agent that holds it.
+func (f *fixture) openFlow(key flow.Key) flow.Endpoint {
+	f.Helper()
 
-	actions := w.router.Packet(w.now, opening(key), []byte("open"))
-	w.one(actions, steering.Forward)
+	actions := f.router.Packet(f.now, openHeader(key), []byte("open"))
+	f.checkOne(actions, steering.Forward)
 
 	agent := actions[0].To
-	w.flows[agent]++
-	w.router.Accepted(w.now, agent, key, roster.Load{Flows: w.flows[agent]})
+	f.flows[agent]++
+	f.router.Accepted(f.now, agent, key, roster.Load{Flows: f.flows[agent]})
 
 	return agent
 }
 
-// one checks that there is one action, and its kind.
-func (w *world) one(actions []steering.Action, kind steering.ActionKind) steering.Action {
-	w.Helper()
-	w.is.Helper()
-	w.is.Equal(len(actions), 1)
-	w.is.Equal(actions[0].Kind, kind)
+// checkOne checks that there is a single action of the given kind, and returns it.
+func (f *fixture) checkOne(actions []steering.Action, kind steering.ActionKind) steering.Action {
+	f.Helper()
+	f.is.Helper()
+	f.is.Equal(len(actions), 1)
+	f.is.Equal(actions[0].Kind, kind)
 
 	return actions[0]
 }
 
-// asked lets the time pass in which questions are gathered and returns the
-// agents that are asked for a flow.
-func (w *world) asked(key flow.Key, actions []steering.Action) []flow.Endpoint {
-	w.Helper()
-	w.is.Helper()
-	w.is.Equal(len(actions), 0)
+// askedAgents advances the time until the batched questions are due, and returns the
+// agents that are asked about a flow.
+func (f *fixture) askedAgents(key flow.Key, actions []steering.Action) []flow.Endpoint {
+	f.Helper()
+	f.is.Helper()
+	f.is.Equal(len(actions), 0)
 
-	due, waiting := w.router.Due()
-	w.is.True(waiting)
-	w.now = due
-	w.questions = map[flow.Endpoint]uint32{}
+	due, waiting := f.router.Due()
+	f.is.True(waiting)
+	f.now = due
+	f.questions = map[flow.Endpoint]uint32{}
 
 	var found []flow.Endpoint
 
-	for _, action := range w.router.Tick(w.now) {
-		w.is.Equal(action.Kind, steering.Locate)
-		w.is.Equal(action.Question.Keys, []flow.Key{key})
+	for _, action := range f.router.Tick(f.now) {
+		f.is.Equal(action.Kind, steering.Locate)
+		f.is.Equal(action.Question.Keys, []flow.Key{key})
 		found = append(found, action.To)
-		w.questions[action.To] = action.Question.ID
+		f.questions[action.To] = action.Question.ID
 	}
 
 	return found
 }
 
 // answer passes the answer of an agent to the last question.
-func (w *world) answer(agent flow.Endpoint, answer flow.Answer) []steering.Action {
-	w.Helper()
+func (f *fixture) answer(agent flow.Endpoint, answer flow.Answer) []steering.Action {
+	f.Helper()
 
-	return w.router.Located(w.now, agent, w.questions[agent], []flow.Answer{answer})
+	return f.router.Located(f.now, agent, f.questions[agent], []flow.Answer{answer})
 }
--- a/internal/coordination/steering/question.go
+++ b/internal/coordination/steering/question.go
@@ -7,105 +7,106 @@
 )
 
 const (
-	// likelyGather is how long questions to the likely agents of a flow wait for
-	// others. Almost all searches end there, so a client waits for it.
-	likelyGather = 3 * time.Millisecond
-
-	// otherGather is the same for all other agents: their denials only prove
-	// that a flow is lost. After the loss of many instances a question then
-	// holds dozens of flows.
-	otherGather = 150 * time.Millisecond
-
-	// maxKeys bounds the flows of one question, which then fits into a datagram.
-	maxKeys = 90
+	// likelyBatchDelay is how long a question to the likely agents of a flow waits
+	// for further flows. It delays the client in almost every search.
+	likelyBatchDelay = 3 * time.Millisecond
+
+	// otherBatchDelay is the same for all other agents. It is longer because they
+	// only confirm that a flow is lost. After the loss of many instances a question
+	// then holds dozens of flows.
+	otherBatchDelay = 150 * time.Millisecond
+
+	// maxQuestionKeys limits the flows of one question so that it fits into a
+	// datagram.
+	maxQuestionKeys = 90
 )
 
-// Question asks an agent for several flows. The answers come in the order of
-// the keys.
+// Question asks an agent whether it holds several flows. The answers are in the
+// order of the keys.
 type Question struct {
 	ID   uint32
 	Keys []flow.Key
 }
 
-// asked is a question that was sent.
-type asked struct {
+// sentQuestion is a question that was sent and not answered yet.
+type sentQuestion struct {
 	Question
 
-	due time.Time
+	expires time.Time
 }
 
-// gathering is questions that wait for others.
-type gathering struct {
+// questionBatch collects flows by agent until their questions are sent.
+type questionBatch struct {
 	keys map[flow.Endpoint][]flow.Key
-	due  time.Time // when they are sent; zero if none waits
+	due  time.Time // when the questions are sent; zero if the batch is empty
 }
 
-func (g *gathering) add(due time.Time, agent flow.Endpoint, key flow.Key) {
-	if g.due.IsZero() {
-		g.due = due
+func (b *questionBatch) add(due time.Time, agent flow.Endpoint, key flow.Key) {
+	if b.due.IsZero() {
+		b.due = due
 	}
 
-	g.keys[agent] = append(g.keys[agent], key)
+	b.keys[agent] = append(b.keys[agent], key)
 }
 
-// questions gathers the questions for each agent.
+// questions batches the questions to each agent and keeps those that were sent.
 type questions struct {
 	nextID uint32
-	likely gathering
-	others gathering
-	sent   map[uint32]asked
+	likely questionBatch
+	others questionBatch
+	sent   map[uint32]sentQuestion
 }
 
 func newQuestions() *questions {
 	return &questions{
-		likely: gathering{keys: make(map[flow.Endpoint][]flow.Key)},
-		others: gathering{keys: make(map[flow.Endpoint][]flow.Key)},
-		sent:   make(map[uint32]asked),
+		likely: questionBatch{keys: make(map[flow.Endpoint][]flow.Key)},
+		others: questionBatch{keys: make(map[flow.Endpoint][]flow.Key)},
+		sent:   make(map[uint32]sentQuestion),
 	}
 }
 
-// flush sends the questions that have waited long enough.
+// flush sends the batches that are due.
 func (r *Router) flush(now time.Time) {
 	q := r.questions
 
-	for _, g := range []*gathering{&q.likely, &q.others} {
-		if g.due.IsZero() || now.Before(g.due) {
+	for _, b := range []*questionBatch{&q.likely, &q.others} {
+		if b.due.IsZero() || now.Before(b.due) {
 			continue
 		}
 
-		g.due = time.Time{}
+		b.due = time.Time{}
 
-		for agent, keys := range g.keys {
+		for agent, keys := range b.keys {
 			for len(keys) > 0 {
-				count := min(len(keys), maxKeys)
-				r.askAgent(now, agent, keys[:count])
+				count := min(len(keys), maxQuestionKeys)
+				r.sendQuestion(now, agent, keys[:count])
 				keys = keys[count:]
 			}
 
-			delete(g.keys, agent)
+			delete(b.keys, agent)
 		}
 	}
 }
 
-// expire forgets the questions that nobody answers any more.
+// expire removes questions that were not answered in time.
 func (q *questions) expire(now time.Time) {
 	for id, question := range q.sent {
-		if now.After(question.due) {
+		if now.After(question.expires) {
 			delete(q.sent, id)
 		}
 	}
 }
 
-func (r *Router) askAgent(now time.Time, agent flow.Endpoint, keys []flow.Key) {
+func (r *Router) sendQuestion(now time.Time, agent flow.Endpoint, keys []flow.Key) {
 	q := r.questions
 	q.nextID++
 
 	question := Question{ID: q.nextID, Keys: keys}
-	q.sent[question.ID] = asked{Question: question, due: now.Add(2 * otherTimeout)}
-	r.act(Action{Kind: Locate, To: agent, Question: question})
+	q.sent[question.ID] = sentQuestion{Question: question, expires: now.Add(2 * otherTimeout)}
+	r.addAction(Action{Kind: Locate, To: agent, Question: question})
 }
 
-// Located tells what an agent said of the flows of a question.
+// Located handles the answers of an agent to a question.
 func (r *Router) Located(now time.Time, from flow.Endpoint, id uint32, answers []flow.Answer) []Action {
 	r.actions = r.actions[:0]
 
@@ -117,17 +118,17 @@
 	delete(r.questions.sent, id)
 
 	for i, key := range question.Keys {
-		r.located(now, from, key, answers[i])
+		r.handleAnswer(now, from, key, answers[i])
 	}
 
 	return r.actions
 }
 
-// Found tells that the backend server of an agent has answered on a flow that
-// the agent was unsure of.
+// Found handles the message that the backend server of an agent has sent a packet
+// of a flow that the agent was unsure of.
 func (r *Router) Found(now time.Time, from flow.Endpoint, key flow.Key) []Action {
 	r.actions = r.actions[:0]
-	r.located(now, from, key, flow.Held)
+	r.handleAnswer(now, from, key, flow.Held)
 
 	return r.actions
 }
--- a/internal/coordination/steering/search.go
+++ b/internal/coordination/steering/search.go
@@ -9,13 +9,13 @@
 	"jayspindle/internal/state/route"
 )
 
-// search keeps the packet and asks agents for the flow. The excluded agents
-// have denied it already.
+// search keeps the packet and asks agents whether they hold the flow. The excluded
+// agents have already denied it.
 func (r *Router) search(
 	now time.Time, target *route.Route, key flow.Key, e *entry, header flow.Header, packet []byte,
 	excluded ...flow.Endpoint,
 ) {
-	if e.state != searching && len(r.undecided) >= maxUndecided {
+	if e.state != searching && len(r.pendingFlows) >= maxPendingFlows {
 		r.counters.Dropped++
 
 		return
@@ -23,52 +23,53 @@
 
 	r.counters.Located++
 
-	e.state, e.last = searching, now
+	e.state, e.lastPacket = searching, now
 	e.denied = append(e.denied, excluded...)
 	e.pending = &pending{tried: slices.Clone(e.denied)}
-	e.keep(header, packet)
+	e.addPacket(header, packet)
 
 	r.flows[key] = e
-	r.undecided[key] = e
-	r.ask(now, target, key, e)
+	r.pendingFlows[key] = e
+	r.askNext(now, target, key, e)
 }
 
-// ask asks the next agents for a flow: first those that can have got it as a
-// new flow, then all others. A flow may also be older than the present route.
-func (r *Router) ask(now time.Time, target *route.Route, key flow.Key, e *entry) {
-	wave := r.likely(target, key, e.tried)
-	likely := !e.asked && len(wave) > 0
-	e.asked = true
+// askNext asks the next agents for a flow: first those that new flows of the key
+// are placed at, then all others, because the flow may be older than the current
+// route.
+func (r *Router) askNext(now time.Time, target *route.Route, key flow.Key, e *entry) {
+	agents := r.likelyAgents(target, key, e.tried)
+	likely := !e.askedLikely && len(agents) > 0
+	e.askedLikely = true
 
-	g, gather, timeout, cost := &r.questions.likely, likelyGather, likelyTimeout, singleBytes
+	batch, delay, timeout, cost := &r.questions.likely, likelyBatchDelay, likelyTimeout, singleQuestionBytes
 
 	if !likely {
-		wave = r.others(e.tried)
-		g, gather, timeout, cost = &r.questions.others, otherGather, otherTimeout, gatheredBytes
+		agents = r.remainingAgents(e.tried)
+		batch, delay, timeout, cost = &r.questions.others, otherBatchDelay, otherTimeout, batchedKeyBytes
 	}
 
-	if len(wave) > 0 && !r.budget.AllowN(now, len(wave)*cost) {
-		e.silent = true
-		wave = nil
+	if len(agents) > 0 && !r.questionBudget.AllowN(now, len(agents)*cost) {
+		e.incomplete = true
+		agents = nil
 	}
 
-	if len(wave) == 0 {
-		r.giveUp(now, key, e)
+	if len(agents) == 0 {
+		r.endSearch(now, key, e)
 
 		return
 	}
 
-	for _, a := range wave {
+	for _, a := range agents {
 		e.tried = append(e.tried, a.Address)
-		e.awaited = append(e.awaited, a.Address)
-		g.add(now.Add(gather), a.Address, key)
+		e.awaiting = append(e.awaiting, a.Address)
+		batch.add(now.Add(delay), a.Address, key)
 	}
 
-	e.due = g.due.Add(timeout)
+	e.deadline = batch.due.Add(timeout)
 }
 
-// likely returns the agents among which a new flow of the key is placed.
-func (r *Router) likely(target *route.Route, key flow.Key, tried []flow.Endpoint) []*agent {
+// likelyAgents returns the candidates for a new flow of the key that were not tried yet.
+func (r *Router) likelyAgents(target *route.Route, key flow.Key, tried []flow.Endpoint) []*agent {
 	var found []*agent
 
 	for _, a := range r.services[target.Pick(key.Hash())] {
@@ -77,13 +78,13 @@
 		}
 	}
 
-	rank(found, key.Hash())
+	sortByRendezvous(found, key.Hash())
 
-	return found[:min(choices, len(found))]
+	return found[:min(maxCandidates, len(found))]
 }
 
-// others returns the agents that were not asked yet.
-func (r *Router) others(tried []flow.Endpoint) []*agent {
+// remainingAgents returns the agents that were not tried yet.
+func (r *Router) remainingAgents(tried []flow.Endpoint) []*agent {
 	var found []*agent
 
 	for address, a := range r.agents {
@@ -95,8 +96,8 @@
 	return found
 }
 
-// located handles what an agent said of one flow.
-func (r *Router) located(now time.Time, from flow.Endpoint, key flow.Key, answer flow.Answer) {
+// handleAnswer handles the answer of an agent about one flow.
+func (r *Router) handleAnswer(now time.Time, from flow.Endpoint, key flow.Key, answer flow.Answer) {
 	e := r.flows[key]
 	if e == nil || e.state != searching {
 		return
@@ -104,14 +105,14 @@
 
 	target, ok := r.table.Find(key.Service)
 	if !ok {
-		r.forget(key)
+		r.removeFlow(key)
 
 		return
 	}
 
 	switch answer {
 	case flow.Held:
-		r.found(now, key, e, from)
+		r.handleFound(now, key, e, from)
 
 		return
 	case flow.Unsure:
@@ -122,147 +123,149 @@
 		e.denied = append(e.denied, from)
 	}
 
-	if r.answered(e, from) {
-		r.next(now, target, key, e)
+	if r.removeAwaiting(e, from) {
+		r.continueSearch(now, target, key, e)
 	}
 }
 
-// answered strikes an agent off those that are awaited and reports whether it
-// was the last one.
-func (r *Router) answered(e *entry, from flow.Endpoint) bool {
-	place := slices.Index(e.awaited, from)
-	if place < 0 {
+// removeAwaiting removes an agent from those whose answers are awaited and reports
+// whether it was the last one.
+func (r *Router) removeAwaiting(e *entry, from flow.Endpoint) bool {
+	index := slices.Index(e.awaiting, from)
+	if index < 0 {
 		return false
 	}
 
-	e.awaited = slices.Delete(e.awaited, place, place+1)
+	e.awaiting = slices.Delete(e.awaiting, index, index+1)
 
-	return len(e.awaited) == 0
+	return len(e.awaiting) == 0
 }
 
-// found sends the kept packets to the agent that holds the flow.
-func (r *Router) found(now time.Time, key flow.Key, e *entry, holder flow.Endpoint) {
+// handleFound assigns the flow to the agent that holds it and sends it the kept packets.
+func (r *Router) handleFound(now time.Time, key flow.Key, e *entry, holder flow.Endpoint) {
 	packets := e.packets
 	if e.probing && e.agent == holder {
 		packets = nil // it has them already
 	}
 
-	r.settle(now, key, e, holder)
+	r.assign(now, key, e, holder)
 
 	for _, packet := range packets {
 		r.forward(key, holder, packet, ReasonNone)
 	}
 }
 
-// next goes on after all agents of a wave have answered or were given up: it
-// tries unsure agents one after the other, then asks further agents.
-func (r *Router) next(now time.Time, target *route.Route, key flow.Key, e *entry) {
+// continueSearch continues after all asked agents have answered or timed out: it
+// probes unsure agents one after the other, then asks further agents.
+func (r *Router) continueSearch(now time.Time, target *route.Route, key flow.Key, e *entry) {
 	if len(e.unsure) == 0 {
 		e.probing = false
-		r.ask(now, target, key, e)
+		r.askNext(now, target, key, e)
 
 		return
 	}
 
 	e.agent, e.unsure = e.unsure[0], e.unsure[1:]
 	e.probing = true
-	e.due = now.Add(probeTimeout)
+	e.deadline = now.Add(probeTimeout)
 
 	for _, packet := range e.packets {
 		r.forward(key, e.agent, packet, ReasonNone)
 	}
 }
 
-// notThere handles a packet that an unsure agent returned.
-func (r *Router) notThere(now time.Time, target *route.Route, key flow.Key, e *entry, from flow.Endpoint) {
+// handleProbeReturned continues the search if the probed agent returned a packet.
+func (r *Router) handleProbeReturned(now time.Time, target *route.Route, key flow.Key, e *entry, from flow.Endpoint) {
 	if e.probing && e.agent == from {
-		r.next(now, target, key, e)
+		r.continueSearch(now, target, key, e)
 	}
 }
 
-// giveUp ends a search. The client learns that the flow is lost only if that is
-// certain.
-func (r *Router) giveUp(now time.Time, key flow.Key, e *entry) {
-	sequence, certain := e.acknowledged, !e.silent && r.fresh(now) && len(r.agents) > 0
+// endSearch ends a search without success. The flow is reset at its client only if
+// it is certainly lost.
+func (r *Router) endSearch(now time.Time, key flow.Key, e *entry) {
+	sequence, certain := e.acknowledged, !e.incomplete && r.viewIsFresh(now) && len(r.agents) > 0
 
-	delete(r.undecided, key)
+	delete(r.pendingFlows, key)
 
 	e.pending = nil
 	r.counters.Lost++
 
 	if certain {
-		e.state, e.until = lost, now.Add(lostFor)
+		e.state, e.resultExpires = lost, now.Add(lostTTL)
 		r.reset(key, sequence, ReasonNotHeld)
 
 		return
 	}
 
-	e.state, e.until = unknown, now.Add(unknownFor)
+	e.state, e.resultExpires = inconclusive, now.Add(inconclusiveTTL)
 }
 
-// Due returns when Tick has to be called next, and false if nothing waits.
+// Due returns when Tick has to be called next, and false if nothing is pending.
 func (r *Router) Due() (time.Time, bool) {
 	due := r.questions.likely.due
 	if others := r.questions.others.due; due.IsZero() || (!others.IsZero() && others.Before(due)) {
 		due = others
 	}
 
-	for _, e := range r.undecided {
-		if due.IsZero() || e.due.Before(due) {
-			due = e.due
+	for _, e := range r.pendingFlows {
+		if due.IsZero() || e.deadline.Before(due) {
+			due = e.deadline
 		}
 	}
 
 	return due, !due.IsZero()
 }
 
-// sweepInterval is how often flows that are no longer used are forgotten.
+// sweepInterval is how often idle flows are removed.
 const sweepInterval = 5 * time.Second
 
-// Tick goes on with the flows whose agents did not answer in time.
+// Tick sends the questions that are due and continues with the flows whose agents
+// did not answer in time.
 func (r *Router) Tick(now time.Time) []Action {
 	r.actions = r.actions[:0]
 
 	r.flush(now)
 
-	for key, e := range r.undecided {
-		if now.Before(e.due) {
+	for key, e := range r.pendingFlows {
+		if now.Before(e.deadline) {
 			continue
 		}
 
 		target, ok := r.table.Find(key.Service)
 		if !ok {
-			r.forget(key)
+			r.removeFlow(key)
 
 			continue
 		}
 
-		r.overdue(now, target, key, e)
+		r.handleTimeout(now, target, key, e)
 	}
 
-	if now.Sub(r.swept) >= sweepInterval {
+	if now.Sub(r.lastSweep) >= sweepInterval {
 		r.sweep(now)
 	}
 
 	return r.actions
 }
 
-func (r *Router) overdue(now time.Time, target *route.Route, key flow.Key, e *entry) {
+func (r *Router) handleTimeout(now time.Time, target *route.Route, key flow.Key, e *entry) {
 	if e.state == opening {
-		r.notOpened(now, target, key, e)
+		r.handleOpenTimeout(now, target, key, e)
 
 		return
 	}
 
-	// A backend server that holds the flow and has nothing to say looks like one
-	// that has ended. Its agent reports the flow with its next packet.
-	e.silent = e.silent || e.probing || !r.allSilent(e.awaited)
-	e.awaited = nil
-	r.next(now, target, key, e)
+	// An unsure agent whose backend server holds the flow but sends nothing looks
+	// like one whose backend server has ended. Found reports the flow when the
+	// backend server sends its next packet.
+	e.incomplete = e.incomplete || e.probing || !r.allSilent(e.awaiting)
+	e.awaiting = nil
+	r.continueSearch(now, target, key, e)
 }
 
-// allSilent reports whether the controllers have not heard the agents either.
-// Then their instances are lost, and so are the flows that they held.
+// allSilent reports whether the controllers have no recent reports of the agents
+// either. Then their instances are lost, and so are the flows that they held.
 func (r *Router) allSilent(addresses []flow.Endpoint) bool {
 	for _, address := range addresses {
 		if a := r.agents[address]; a != nil && a.State != roster.Silent {
@@ -273,19 +276,19 @@
 	return true
 }
 
-// suspect passes an agent over for new flows for a while.
-func (r *Router) suspect(now time.Time, address flow.Endpoint) {
+// markSuspect makes an agent a last resort for new flows for suspectDuration.
+func (r *Router) markSuspect(now time.Time, address flow.Endpoint) {
 	if a := r.agents[address]; a != nil {
-		a.suspect = now.Add(suspicion)
+		a.suspectUntil = now.Add(suspectDuration)
 	}
 }
 
 func (r *Router) sweep(now time.Time) {
-	r.swept = now
+	r.lastSweep = now
 	r.questions.expire(now)
 
 	for address, a := range r.agents {
-		if !a.missing.IsZero() && now.Sub(a.missing) > roster.GoneAfter {
+		if !a.missingSince.IsZero() && now.Sub(a.missingSince) > roster.GoneAfter {
 			delete(r.agents, address)
 		}
 	}
@@ -293,8 +296,8 @@
 	r.indexServices()
 
 	for key, e := range r.flows {
-		if now.Sub(e.last) > retention {
-			r.forget(key)
+		if now.Sub(e.lastPacket) > idleFlowTTL {
+			r.removeFlow(key)
 		}
 	}
 }
