--- a/internal/coordination/gate/backend.go
+++ b/internal/coordination/gate/backend.go
@@ -87,7 +87,7 @@
 		return Late, nil
 	}
 
-	before := *b
+	previous := *b
 
 	// Flows that were seen before the first report belong to the backend server
 	// that now reports for the first time.
@@ -108,11 +108,11 @@
 
 	// Leaving is final for a start of the backend server: it serves again only
 	// after a restart.
-	if report.Leaving || (before.state == leaving && before.born == b.born) {
+	if report.Leaving || (previous.state == leaving && previous.born == b.born) {
 		b.state = leaving
 	}
 
-	if b.state != before.state || b.born != before.born || b.slots != before.slots {
+	if b.state != previous.state || b.born != previous.born || b.slots != previous.slots {
 		return Changed, nil
 	}
 
--- a/internal/coordination/gate/checkpoint_test.go
+++ b/internal/coordination/gate/checkpoint_test.go
@@ -9,8 +9,8 @@
 	"jayspindle/internal/state/flow"
 )
 
-// memoryOf returns a checkpoint of the test flow by a backend server started at born.
-func memoryOf(born time.Time) checkpoint.Memory {
+// newMemory returns a checkpoint of the test flow by a backend server started at born.
+func newMemory(born time.Time) checkpoint.Memory {
 	return checkpoint.Memory{Born: born.UnixMilli(), Flows: []checkpoint.Flow{{Key: key, Acknowledged: 5}}}
 }
 
@@ -41,7 +41,7 @@
 		b := newBackendFixture(t)
 		b.report(report(start, 1))
 
-		orphans, done := b.gate.Recover(b.now, memoryOf(start.Add(-time.Minute)))
+		orphans, done := b.gate.Recover(b.now, newMemory(start.Add(-time.Minute)))
 		b.is.True(done)
 		b.is.Equal(orphans, []gate.Orphan{{Key: key, Sequence: 5}})
 	})
@@ -50,7 +50,7 @@
 		b := newBackendFixture(t)
 		b.report(report(start.Add(-time.Minute), 70))
 
-		orphans, done := b.gate.Recover(b.now, memoryOf(start.Add(-time.Minute)))
+		orphans, done := b.gate.Recover(b.now, newMemory(start.Add(-time.Minute)))
 		b.is.True(done)
 		b.is.Equal(len(orphans), 0)
 		b.is.Equal(b.gate.Locate(b.now, key), flow.Held)
@@ -59,15 +59,15 @@
 		b.is.Equal(lasting, map[flow.Key]uint32{key: 5})
 
 		// The flow has ended since the checkpoint.
-		returned := request
+		returned := requestHeader
 		returned.Returned = true
-		b.fromClient(request, gate.Deliver)
+		b.fromClient(requestHeader, gate.Deliver)
 		b.fromBackend(returned, gate.Reset)
 	})
 
 	t.Run("the backend server has not reported", func(t *testing.T) {
 		b := newBackendFixture(t)
-		_, done := b.gate.Recover(b.now, memoryOf(start))
+		_, done := b.gate.Recover(b.now, newMemory(start))
 		b.is.True(!done)
 	})
 
@@ -76,7 +76,7 @@
 		b.report(report(start, 1))
 		b.openFlow()
 
-		orphans, done := b.gate.Recover(b.now, memoryOf(start.Add(-time.Minute)))
+		orphans, done := b.gate.Recover(b.now, newMemory(start.Add(-time.Minute)))
 		b.is.True(done)
 		b.is.Equal(len(orphans), 0)
 	})
@@ -85,7 +85,7 @@
 		b := newBackendFixture(t)
 		b.report(report(start, 1))
 
-		orphans, done := b.gate.Recover(b.now, memoryOf(start.Add(time.Minute)))
+		orphans, done := b.gate.Recover(b.now, newMemory(start.Add(time.Minute)))
 		b.is.True(done)
 		b.is.Equal(len(orphans), 0)
 	})
--- a/internal/coordination/gate/gate.go
+++ b/internal/coordination/gate/gate.go
@@ -232,7 +232,7 @@
 		return Decision{Kind: Deliver, Forwarder: forwarder, Accepted: h.state == open}
 	}
 
-	if reason := g.refusal(key); reason != ReasonNone {
+	if reason := g.refusalReason(key); reason != ReasonNone {
 		g.counters.Refused++
 
 		return Decision{Kind: Return, Forwarder: forwarder, Reason: reason}
@@ -243,8 +243,8 @@
 	return Decision{Kind: Deliver}
 }
 
-// refusal returns why a new flow must not start, or ReasonNone.
-func (g *Gate) refusal(key flow.Key) Reason {
+// refusalReason returns why a new flow must not start, or ReasonNone.
+func (g *Gate) refusalReason(key flow.Key) Reason {
 	switch g.backend.state {
 	case unreported, silent:
 		return ReasonUnknown
--- a/internal/coordination/gate/gate_test.go
+++ b/internal/coordination/gate/gate_test.go
@@ -98,19 +98,19 @@
 }
 
 var (
-	opens   = flow.Header{Open: true}
-	accepts = flow.Header{Open: true, Acks: true}
-	request = flow.Header{Acks: true, Acknowledged: 5, Length: 100}
-	answer  = flow.Header{Acks: true, Length: 200}
+	openHeader    = flow.Header{Open: true}
+	acceptHeader  = flow.Header{Open: true, Acks: true}
+	requestHeader = flow.Header{Acks: true, Acknowledged: 5, Length: 100}
+	answerHeader  = flow.Header{Acks: true, Length: 200}
 )
 
 // openFlow opens the flow and runs one request on it.
 func (b *backendFixture) openFlow() {
 	b.Helper()
-	b.fromClient(opens, gate.Deliver)
-	b.is.True(b.fromBackend(accepts, gate.ToClient).Accepted)
-	b.fromClient(request, gate.Deliver)
-	b.fromBackend(answer, gate.ToClient)
+	b.fromClient(openHeader, gate.Deliver)
+	b.is.True(b.fromBackend(acceptHeader, gate.ToClient).Accepted)
+	b.fromClient(requestHeader, gate.Deliver)
+	b.fromBackend(answerHeader, gate.ToClient)
 }
 
 // TestOpen guards against new flows at a backend server that must not get any.
@@ -147,7 +147,7 @@
 		b.checkRefused(gate.ReasonUnknown)
 
 		b.report(report(start, 2))
-		b.fromClient(opens, gate.Deliver)
+		b.fromClient(openHeader, gate.Deliver)
 	})
 
 	t.Run("route of another service", func(t *testing.T) {
@@ -161,9 +161,9 @@
 	t.Run("full", func(t *testing.T) {
 		b := newBackendFixture(t)
 		b.report(report(start, 1))
-		b.fromClient(opens, gate.Deliver)
+		b.fromClient(openHeader, gate.Deliver)
 
-		returned := opens
+		returned := openHeader
 		returned.Returned = true
 		b.is.Equal(b.fromBackend(returned, gate.Return).Reason, gate.ReasonFull)
 		b.is.Equal(b.gate.Load(b.now), roster.Load{})
@@ -173,7 +173,7 @@
 func (b *backendFixture) checkRefused(reason gate.Reason) {
 	b.Helper()
 	b.is.Helper()
-	b.is.Equal(b.fromClient(opens, gate.Return).Reason, reason)
+	b.is.Equal(b.fromClient(openHeader, gate.Return).Reason, reason)
 }
 
 // TestReport guards against applying reports that arrive out of order or that
@@ -208,8 +208,8 @@
 	b.openFlow()
 	b.is.Equal(b.gate.Load(b.now), roster.Load{Flows: 1})
 
-	next := request
-	next.Sequence = request.End()
+	next := requestHeader
+	next.Sequence = requestHeader.End()
 
 	b.fromClient(next, gate.Deliver)
 	b.is.Equal(b.gate.Load(b.now), roster.Load{Flows: 1, Waiting: 1})
@@ -234,8 +234,8 @@
 	b.is.Equal(b.gate.Locate(b.now, key), flow.Unsure)
 
 	// The backend server holds the flow.
-	b.fromClient(request, gate.Deliver)
-	b.is.True(b.fromBackend(answer, gate.ToClient).Found)
+	b.fromClient(requestHeader, gate.Deliver)
+	b.is.True(b.fromBackend(answerHeader, gate.ToClient).Found)
 	b.is.Equal(b.gate.Locate(b.now, key), flow.Held)
 }
 
@@ -243,13 +243,13 @@
 // restarted agent before the first report of the backend server (soak seed 2009).
 func TestRestartBeforeReport(t *testing.T) {
 	b := newBackendFixture(t)
-	b.fromClient(request, gate.Deliver)
-	b.fromBackend(answer, gate.ToClient)
+	b.fromClient(requestHeader, gate.Deliver)
+	b.fromBackend(answerHeader, gate.ToClient)
 
 	b.is.Equal(b.report(report(start.Add(-time.Minute), 70)), gate.Changed)
 	b.is.Equal(len(b.gate.Orphans()), 0)
 	b.is.Equal(b.gate.Locate(b.now, key), flow.Held)
-	b.fromClient(request, gate.Deliver)
+	b.fromClient(requestHeader, gate.Deliver)
 }
 
 // TestRestartNotHeld guards against a flow that stays assigned to an agent whose
@@ -258,9 +258,9 @@
 func TestRestartNotHeld(t *testing.T) {
 	b := newBackendFixture(t)
 	b.report(report(start.Add(-time.Minute), 70))
-	b.fromClient(request, gate.Deliver)
+	b.fromClient(requestHeader, gate.Deliver)
 
-	returned := request
+	returned := requestHeader
 	returned.Returned = true
 	b.fromBackend(returned, gate.Return)
 	b.is.Equal(b.gate.Load(b.now), roster.Load{})
@@ -271,11 +271,11 @@
 func TestSecondAcceptance(t *testing.T) {
 	b := newBackendFixture(t)
 	b.report(report(start, 1))
-	b.fromClient(opens, gate.Deliver)
-	b.fromBackend(accepts, gate.ToClient)
-	b.fromClient(request, gate.Deliver)
+	b.fromClient(openHeader, gate.Deliver)
+	b.fromBackend(acceptHeader, gate.ToClient)
+	b.fromClient(requestHeader, gate.Deliver)
 
-	returned := request
+	returned := requestHeader
 	returned.Returned = true
 	b.fromBackend(returned, gate.Return)
 }
@@ -328,7 +328,7 @@
 	b.is.Equal(len(b.gate.Orphans()), 0)
 	b.is.Equal(b.gate.Load(b.now), roster.Load{})
 
-	b.fromClient(request, gate.Return)
+	b.fromClient(requestHeader, gate.Return)
 }
 
 // TestEnded guards against a packet that reaches the successor of its backend
@@ -338,6 +338,6 @@
 	b.report(report(start, 1))
 	b.openFlow()
 	b.report(report(start.Add(time.Second), 1))
-	b.is.Equal(b.fromClient(request, gate.Reset).Reason, gate.ReasonReplaced)
-	b.fromClient(opens, gate.Deliver)
+	b.is.Equal(b.fromClient(requestHeader, gate.Reset).Reason, gate.ReasonReplaced)
+	b.fromClient(openHeader, gate.Deliver)
 }
--- a/internal/coordination/gate/health_test.go
+++ b/internal/coordination/gate/health_test.go
@@ -63,7 +63,7 @@
 	t.Run("no acceptance", func(t *testing.T) {
 		s := newSlotFixture(t, 3)
 		for number := range 3 {
-			s.fromClient(client(number, normal), opens)
+			s.fromClient(client(number, normal), openHeader)
 		}
 
 		s.now = s.now.Add(100 * time.Millisecond)
--- a/internal/coordination/gate/lost.go
+++ b/internal/coordination/gate/lost.go
@@ -59,14 +59,14 @@
 // the gate started, there is no backend server: it would have retried a failed
 // report by then.
 func (g *Gate) mayHoldUnseenFlows(now time.Time) bool {
-	running := now.Sub(g.config.Boot)
+	uptime := now.Sub(g.config.Boot)
 
 	switch g.backend.state {
 	case unreported:
-		return running < g.config.ReportInterval*3/2
+		return uptime < g.config.ReportInterval*3/2
 	case ended:
 		return false
 	default:
-		return !g.backend.seenFromStart && running < learningWindow
+		return !g.backend.seenFromStart && uptime < learningWindow
 	}
 }
--- a/internal/coordination/gate/queue.go
+++ b/internal/coordination/gate/queue.go
@@ -36,19 +36,19 @@
 }
 
 // addPacket stores a copy of a packet, unless it is a retransmission.
-func (q *request) addPacket(sequence uint32, packet []byte) {
-	if len(q.packets) < maxHeldPackets && !slices.Contains(q.sequences, sequence) {
-		q.packets, q.sequences = append(q.packets, bytes.Clone(packet)), append(q.sequences, sequence)
+func (r *request) addPacket(sequence uint32, packet []byte) {
+	if len(r.packets) < maxHeldPackets && !slices.Contains(r.sequences, sequence) {
+		r.packets, r.sequences = append(r.packets, bytes.Clone(packet)), append(r.sequences, sequence)
 	}
 }
 
 // rank classifies a request by whether it can still be served in time: 0 if it can
 // meet the aim of its route, 2 if its client has probably given up, 1 otherwise.
-func (q *request) rank(now time.Time, serviceTime time.Duration) int {
-	switch waited := now.Sub(q.arrived); {
-	case waited+serviceTime <= q.route.Aim:
+func (r *request) rank(now time.Time, serviceTime time.Duration) int {
+	switch waited := now.Sub(r.arrived); {
+	case waited+serviceTime <= r.route.Aim:
 		return 0
-	case waited < q.route.Timeout:
+	case waited < r.route.Timeout:
 		return 1
 	default:
 		return 2
--- a/internal/coordination/gate/queue_test.go
+++ b/internal/coordination/gate/queue_test.go
@@ -85,8 +85,8 @@
 // reports whether the request was handed over at once.
 func (s *slotFixture) sendRequest(key flow.Key) bool {
 	if _, ok := s.nextSequences[key]; !ok {
-		s.fromClient(key, opens)
-		s.fromBackend(key, accepts)
+		s.fromClient(key, openHeader)
+		s.fromBackend(key, acceptHeader)
 	}
 
 	request := flow.Header{Acks: true, Sequence: s.nextSequences[key], Length: 100}
@@ -98,7 +98,7 @@
 // answer lets the backend server answer, and returns the flows whose waiting
 // requests get the slot.
 func (s *slotFixture) answer(key flow.Key) []flow.Key {
-	s.fromBackend(key, answer)
+	s.fromBackend(key, answerHeader)
 
 	return s.started()
 }
@@ -174,8 +174,8 @@
 		s.is.Equal(s.gate.Load(s.now).Waiting, uint16(0))
 
 		// The client opens another flow from the same port.
-		s.is.Equal(s.fromClient(b, opens), gate.Deliver)
-		s.fromBackend(b, accepts)
+		s.is.Equal(s.fromClient(b, openHeader), gate.Deliver)
+		s.fromBackend(b, acceptHeader)
 		s.is.Equal(s.fromClient(b, flow.Header{Acks: true, Sequence: 5000, Length: 100}), gate.Deliver)
 	})
 
--- a/internal/coordination/steering/open_test.go
+++ b/internal/coordination/steering/open_test.go
@@ -59,18 +59,18 @@
 	f.router.Apply(f.now, records, true)
 
 	counts := map[flow.Endpoint]int{}
-	near := 0
+	localFlows := 0
 
 	for number := range 360 {
 		agent := f.openFlow(client(number))
 		counts[agent]++
 
 		if agent.IP[3]%2 == 1 {
-			near++
+			localFlows++
 		}
 	}
 
-	f.is.True(near > 185)
+	f.is.True(localFlows > 185)
 	assertBalanced(t, counts, 6)
 }
 
