--- a/internal/coordination/claim/claimant.go
+++ b/internal/coordination/claim/claimant.go
@@ -12,17 +12,17 @@
 const (
 	// ClaimTimeout is how long a claimant waits for holders.
 	ClaimTimeout = time.Second
-	// HandOverLimit is how long after Begin a request may be handed over. A
-	// process that was paused for longer gives the claim up, because the
-	// holders' records end a retention after the grant.
+	// HandOverLimit is how long after Begin a request may be handed over to the
+	// backend server. A process that was paused for longer abandons the claim,
+	// because the holders drop its records a fixed time after the grant.
 	HandOverLimit = 5 * time.Second
-	// closeTimeout is how long a claimant repeats its last messages.
+	// closeTimeout is how long a claimant resends its final request.
 	closeTimeout = 5 * time.Second
-	// resendEvery is the time between two copies of a message, so that a holder
-	// gets up to ten within ClaimTimeout.
-	resendEvery = 100 * time.Millisecond
-	// idleWake is far enough away for Wake to mean never.
-	idleWake = time.Hour
+	// resendInterval is the time between two copies of a request. A holder gets
+	// up to ten copies within ClaimTimeout.
+	resendInterval = 100 * time.Millisecond
+	// idleWakeDelay is so long that a Wake this far ahead means that no call is due.
+	idleWakeDelay = time.Hour
 )
 
 // Verdict is what a claimant decided.
@@ -32,13 +32,13 @@
 const (
 	Pending    Verdict = iota
 	Run                // hand the request over now
-	Replay             // an execution has ended; its answer is known
+	Replay             // an execution has ended, and its answer is returned
 	InProgress         // another execution holds the key and its agent is a member
 	Unknown            // an earlier execution may have run
 	NotRun             // no execution that began before has run, and this one will not
 )
 
-// Reason tells why a claimant decided so.
+// Reason explains a verdict.
 type Reason string
 
 // The reasons of a Decision.
@@ -68,35 +68,35 @@
 	Request Request
 }
 
-// seatState is what a claimant knows from one seat.
+// seatState is what the replies for one seat have told a claimant.
 type seatState struct {
-	status  Status // 0 before the first reply
-	owner   Execution
-	settled bool // the last message was acknowledged
+	status       Status // 0 before the first reply
+	owner        Execution
+	acknowledged bool // the final request was acknowledged
 }
 
 // Claimant claims a key for one execution. It sends nothing itself: Messages
 // returns what to send.
 type Claimant struct {
-	key        Key
-	execution  Execution
-	history    *History
-	sets       [][]view.Incarnation // of the oldest membership first
-	seats      map[view.Incarnation]*seatState
-	order      []view.Incarnation
-	decision   Decision
-	handedOver bool
-	closing    *Request // repeated to every seat after the decision
-	began      time.Time
-	closedAt   time.Time
-	nextSend   time.Time
+	key          Key
+	execution    Execution
+	history      *History
+	holderSets   [][]view.Incarnation // that of the oldest membership first
+	seatStates   map[view.Incarnation]*seatState
+	seatOrder    []view.Incarnation
+	decision     Decision
+	handedOver   bool
+	finalRequest *Request // Complete or Release, nil before the claim ends
+	startedAt    time.Time
+	decidedAt    time.Time
+	nextSendAt   time.Time
 }
 
 // Begin starts a claim. The execution must be new.
 func Begin(now time.Time, key Key, execution Execution, history *History) *Claimant {
 	c := &Claimant{
-		key: key, execution: execution, history: history, began: now, nextSend: now,
-		seats: make(map[view.Incarnation]*seatState),
+		key: key, execution: execution, history: history, startedAt: now, nextSendAt: now,
+		seatStates: make(map[view.Incarnation]*seatState),
 	}
 
 	if !history.Complete(now) {
@@ -105,13 +105,13 @@
 		return c
 	}
 
-	c.sets = history.Sets(now, key)
+	c.holderSets = history.Sets(now, key)
 
-	for _, set := range c.sets {
+	for _, set := range c.holderSets {
 		for _, seat := range set {
-			if c.seats[seat] == nil {
-				c.seats[seat] = &seatState{}
-				c.order = append(c.order, seat)
+			if c.seatStates[seat] == nil {
+				c.seatStates[seat] = &seatState{}
+				c.seatOrder = append(c.seatOrder, seat)
 			}
 		}
 	}
@@ -119,34 +119,35 @@
 	return c
 }
 
-// Decision returns the verdict, Pending before there is one.
+// Decision returns the decision. Its verdict is Pending until the claim is decided.
 func (c *Claimant) Decision() Decision { return c.decision }
 
 // Execution returns the execution that claims.
 func (c *Claimant) Execution() Execution { return c.execution }
 
-// Messages returns what is to be sent now: claims that are not answered, or
-// the last messages of a claim that is decided.
+// Messages returns the messages to send now: Grant requests to the seats that
+// have not granted the key, or the final request to the seats that have not
+// acknowledged it.
 func (c *Claimant) Messages(now time.Time) []Message {
-	if now.Before(c.nextSend) || c.Done(now) {
+	if now.Before(c.nextSendAt) || c.Done(now) {
 		return nil
 	}
 
 	request := Request{Verb: Grant, Key: c.key, Execution: c.execution}
 
 	switch {
-	case c.closing != nil:
-		request = *c.closing
+	case c.finalRequest != nil:
+		request = *c.finalRequest
 	case c.decision.Verdict != Pending:
 		return nil
 	}
 
-	c.nextSend = now.Add(resendEvery)
+	c.nextSendAt = now.Add(resendInterval)
 
 	var messages []Message
 
-	for _, seat := range c.order {
-		if state := c.seats[seat]; state.settled || (c.closing == nil && state.status == Granted) {
+	for _, seat := range c.seatOrder {
+		if state := c.seatStates[seat]; state.acknowledged || (c.finalRequest == nil && state.status == Granted) {
 			continue
 		}
 
@@ -157,17 +158,17 @@
 	return messages
 }
 
-// Wake returns when Tick and Messages must be called next.
+// Wake returns the time at which to call Tick and Messages next.
 func (c *Claimant) Wake() time.Time {
-	timeout := c.began.Add(ClaimTimeout)
+	timeout := c.startedAt.Add(ClaimTimeout)
 
 	switch {
-	case c.decision.Verdict == Pending && timeout.Before(c.nextSend):
+	case c.decision.Verdict == Pending && timeout.Before(c.nextSendAt):
 		return timeout
-	case c.decision.Verdict == Run && c.closing == nil:
-		return c.began.Add(idleWake) // nothing is due while the request runs
+	case c.decision.Verdict == Run && c.finalRequest == nil:
+		return c.startedAt.Add(idleWakeDelay) // nothing is due while the request runs
 	default:
-		return c.nextSend
+		return c.nextSendAt
 	}
 }
 
@@ -176,42 +177,44 @@
 	switch {
 	case c.decision.Verdict == Pending:
 		return false
-	case c.closing == nil:
+	case c.finalRequest == nil:
 		return c.decision.Verdict != Run
-	case now.Sub(c.closedAt) >= closeTimeout:
+	case now.Sub(c.decidedAt) >= closeTimeout:
 		return true
 	}
 
-	return !slices.ContainsFunc(c.order, func(seat view.Incarnation) bool { return !c.seats[seat].settled })
+	return !slices.ContainsFunc(c.seatOrder, func(seat view.Incarnation) bool {
+		return !c.seatStates[seat].acknowledged
+	})
 }
 
 // Recorded reports whether a majority of the holders of every membership has
-// acknowledged the last messages, so that a later claim finds the outcome.
+// acknowledged the final request, so that a later claim finds the outcome.
 func (c *Claimant) Recorded() bool {
-	return c.closing != nil && !slices.ContainsFunc(c.sets, func(set []view.Incarnation) bool {
-		settled := 0
+	return c.finalRequest != nil && !slices.ContainsFunc(c.holderSets, func(set []view.Incarnation) bool {
+		acknowledged := 0
 
 		for _, seat := range set {
-			if c.seats[seat].settled {
-				settled++
+			if c.seatStates[seat].acknowledged {
+				acknowledged++
 			}
 		}
 
-		return settled < majority(set)
+		return acknowledged < majority(set)
 	})
 }
 
-// Reply takes the reply of a holder into account. Late and duplicated replies
-// and those to other executions are harmless.
+// Reply processes the reply of a holder. Late and duplicated replies, and those
+// to other executions, change nothing.
 func (c *Claimant) Reply(now time.Time, reply Reply) {
-	state := c.seats[reply.Seat]
+	state := c.seatStates[reply.Seat]
 	if state == nil || reply.Key != c.key || reply.Execution != c.execution {
 		return
 	}
 
 	if reply.Status == Moved {
 		c.history.Move(reply.Seat, reply.Successor)
-		c.nextSend = now
+		c.nextSendAt = now
 
 		return
 	}
@@ -220,8 +223,8 @@
 		return
 	}
 
-	if c.closing != nil {
-		state.settled = state.settled || reply.Verb == c.closing.Verb
+	if c.finalRequest != nil {
+		state.acknowledged = state.acknowledged || reply.Verb == c.finalRequest.Verb
 
 		return
 	}
@@ -230,8 +233,9 @@
 		return
 	}
 
-	// A reply to an earlier copy may overtake, but a grant is only lost by
-	// Release or expiry, neither of which can happen here.
+	// Replies to copies of a request may arrive out of order. A Granted status
+	// stays, because a grant ends only by Release or expiry, and neither can
+	// happen before the decision.
 	if state.status != Granted {
 		state.status = reply.Status
 		state.owner = reply.Owner
@@ -246,21 +250,22 @@
 	c.evaluate(now)
 }
 
-// Tick ends a claim whose time is up.
+// Tick decides a claim that has reached ClaimTimeout.
 func (c *Claimant) Tick(now time.Time) {
-	if c.decision.Verdict == Pending && now.Sub(c.began) >= ClaimTimeout {
-		c.giveUp(now)
+	if c.decision.Verdict == Pending && now.Sub(c.startedAt) >= ClaimTimeout {
+		c.decideWithoutMajority(now)
 	}
 }
 
-// HandOver must be called at the moment of the hand-over. If it reports false,
-// the claim is too old and was given up: the request must not be handed over.
+// HandOver must be called immediately before the request is handed over. If it
+// returns false, the claim was too old and is abandoned: the request must not be
+// handed over.
 func (c *Claimant) HandOver(now time.Time) bool {
-	invariant.Assert(c.decision.Verdict == Run && c.closing == nil && !c.handedOver,
+	invariant.Assert(c.decision.Verdict == Run && c.finalRequest == nil && !c.handedOver,
 		"claim: a request is handed over once, after a claim", slog.String("key", c.key.Token))
 	c.assertMajorities()
 
-	if now.Sub(c.began) > HandOverLimit {
+	if now.Sub(c.startedAt) > HandOverLimit {
 		c.Abandon(now)
 
 		return false
@@ -276,32 +281,32 @@
 	invariant.Assert(c.handedOver, "claim: only a request that was handed over completes",
 		slog.String("key", c.key.Token))
 
-	c.close(now, Request{Verb: Complete, Key: c.key, Execution: c.execution, Answer: answer})
+	c.startFinalRequest(now, Request{Verb: Complete, Key: c.key, Execution: c.execution, Answer: answer})
 }
 
-// Abandon gives a claim up that was granted but will not be handed over.
+// Abandon releases a claim whose request will not be handed over.
 func (c *Claimant) Abandon(now time.Time) {
 	invariant.Assert(!c.handedOver, "claim: a request that was handed over is not released",
 		slog.String("key", c.key.Token))
 
 	if c.decision.Verdict == Run || c.decision.Verdict == Pending {
-		c.decide(now, Decision{Verdict: NotRun, Reason: ReasonReleased})
+		c.endWithoutRun(now, Decision{Verdict: NotRun, Reason: ReasonReleased})
 	}
 }
 
-// TakeBack gives a claim up after a hand-over that is proven not to have run
-// the request, for example because every backend server refused it before the
-// start. The caller may then send the request again under the same key.
+// TakeBack releases a claim after a hand-over that is known not to have run the
+// request, for example because every backend server refused it before the
+// start. The caller may then send the request again with the same key.
 func (c *Claimant) TakeBack(now time.Time) {
-	invariant.Assert(c.handedOver && c.closing == nil, "claim: only an open hand-over is taken back",
+	invariant.Assert(c.handedOver && c.finalRequest == nil, "claim: only an open hand-over is taken back",
 		slog.String("key", c.key.Token))
 
 	c.handedOver = false
 	c.Abandon(now)
 }
 
-// replay ends the claim with the answer of an earlier execution. The holders
-// that did not know of it get the answer.
+// replay ends the claim with the answer of an earlier execution and sends that
+// answer to all holders, because some may have missed it.
 func (c *Claimant) replay(now time.Time, reply Reply) {
 	c.decision = Decision{Verdict: Replay, Reason: ReasonCompleted, Owner: reply.Owner, Answer: reply.Answer}
 
@@ -313,67 +318,70 @@
 		c.decision.Reason = ReasonTooLarge
 	}
 
-	c.close(now, Request{Verb: Complete, Key: c.key, Execution: reply.Owner, Answer: reply.Answer})
+	c.startFinalRequest(now, Request{Verb: Complete, Key: c.key, Execution: reply.Owner, Answer: reply.Answer})
 }
 
-// evaluate decides as soon as the outcome cannot change any more.
+// evaluate decides the claim if further replies cannot change the outcome.
 func (c *Claimant) evaluate(now time.Time) {
-	if c.everySet(Granted) {
+	if c.majorityInEverySet(Granted) {
 		c.assertMajorities()
 		c.decision = Decision{Verdict: Run, Reason: ReasonClaimed, Owner: c.execution}
 
 		return
 	}
 
-	if c.possible() {
+	if c.majorityPossible() {
 		return
 	}
 
-	// If the owner is gone, a holder that has not answered may know how its
-	// execution ended.
-	if owner, held := c.heldBy(); c.allReplied() || (held && c.history.Member(owner.Agent)) {
-		c.giveUp(now)
+	// If the owner's agent is no longer a member, wait for the remaining holders:
+	// one of them may know how its execution ended.
+	if owner, held := c.conflictingOwner(); c.allReplied() || (held && c.history.Member(owner.Agent)) {
+		c.decideWithoutMajority(now)
 	}
 }
 
-// possible reports whether a majority of every set can still be granted.
-func (c *Claimant) possible() bool {
-	return !slices.ContainsFunc(c.sets, func(set []view.Incarnation) bool {
+// majorityPossible reports whether a majority of every holder set can still
+// grant the key.
+func (c *Claimant) majorityPossible() bool {
+	return !slices.ContainsFunc(c.holderSets, func(set []view.Incarnation) bool {
 		return len(set)-c.count(set, Held, Full, Released) < majority(set)
 	})
 }
 
 func (c *Claimant) allReplied() bool {
-	return !slices.ContainsFunc(c.order, func(seat view.Incarnation) bool { return c.seats[seat].status == 0 })
+	return !slices.ContainsFunc(c.seatOrder, func(seat view.Incarnation) bool { return c.seatStates[seat].status == 0 })
 }
 
-// giveUp decides when the claim cannot or did not get a majority everywhere.
-func (c *Claimant) giveUp(now time.Time) {
-	owner, held := c.heldBy()
+// decideWithoutMajority decides a claim that did not get a majority of every
+// holder set, or no longer can.
+func (c *Claimant) decideWithoutMajority(now time.Time) {
+	owner, held := c.conflictingOwner()
 
 	switch {
 	case held && c.history.Member(owner.Agent):
-		c.decide(now, Decision{Verdict: InProgress, Reason: ReasonHeld, Owner: owner})
+		c.endWithoutRun(now, Decision{Verdict: InProgress, Reason: ReasonHeld, Owner: owner})
 	case c.noneRanBefore():
-		c.decide(now, Decision{Verdict: NotRun, Reason: c.shortage()})
+		c.endWithoutRun(now, Decision{Verdict: NotRun, Reason: c.notRunReason()})
 	case held:
-		c.decide(now, Decision{Verdict: Unknown, Reason: ReasonLost, Owner: owner})
+		c.endWithoutRun(now, Decision{Verdict: Unknown, Reason: ReasonLost, Owner: owner})
 	default:
-		c.decide(now, Decision{Verdict: Unknown, Reason: ReasonHolders})
+		c.endWithoutRun(now, Decision{Verdict: Unknown, Reason: ReasonHolders})
 	}
 }
 
-// noneRanBefore reports whether no earlier execution can have run. The oldest
-// membership in the window is in the list of every execution that the holders
-// still remember, so a majority without a claim there rules all of them out.
+// noneRanBefore reports whether no earlier execution can have run. Every
+// execution that the holders still have on record needed a majority of the
+// oldest membership in the window, so a majority without a claim in that
+// membership rules all of them out.
 func (c *Claimant) noneRanBefore() bool {
-	oldest := c.sets[0]
+	oldest := c.holderSets[0]
 
 	return c.count(oldest, Granted, Full) >= majority(oldest)
 }
 
-func (c *Claimant) shortage() Reason {
-	for _, state := range c.seats {
+func (c *Claimant) notRunReason() Reason {
+	for _, state := range c.seatStates {
 		if state.status == Full {
 			return ReasonFull
 		}
@@ -382,9 +390,11 @@
 	return ReasonHolders
 }
 
-func (c *Claimant) heldBy() (Execution, bool) {
-	for _, seat := range c.order {
-		if state := c.seats[seat]; state.status == Held {
+// conflictingOwner returns the execution that holds the key at the first seat
+// that refused it.
+func (c *Claimant) conflictingOwner() (Execution, bool) {
+	for _, seat := range c.seatOrder {
+		if state := c.seatStates[seat]; state.status == Held {
 			return state.owner, true
 		}
 	}
@@ -392,25 +402,27 @@
 	return Execution{}, false
 }
 
-// decide ends the claim without a run and frees what was granted, also by
-// grants whose replies are still under way.
-func (c *Claimant) decide(now time.Time, decision Decision) {
+// endWithoutRun ends the claim without a run and releases the key at every
+// seat, because Granted replies may still be in flight.
+func (c *Claimant) endWithoutRun(now time.Time, decision Decision) {
 	c.decision = decision
-	c.close(now, Request{Verb: Release, Key: c.key, Execution: c.execution})
+	c.startFinalRequest(now, Request{Verb: Release, Key: c.key, Execution: c.execution})
 }
 
-func (c *Claimant) close(now time.Time, last Request) {
-	c.closing = &last
-	c.closedAt = now
-	c.nextSend = now
+// startFinalRequest starts sending the request to every seat until it is
+// acknowledged.
+func (c *Claimant) startFinalRequest(now time.Time, request Request) {
+	c.finalRequest = &request
+	c.decidedAt = now
+	c.nextSendAt = now
 
-	for _, state := range c.seats {
-		state.settled = false
+	for _, state := range c.seatStates {
+		state.acknowledged = false
 	}
 }
 
-func (c *Claimant) everySet(status Status) bool {
-	return !slices.ContainsFunc(c.sets, func(set []view.Incarnation) bool {
+func (c *Claimant) majorityInEverySet(status Status) bool {
+	return !slices.ContainsFunc(c.holderSets, func(set []view.Incarnation) bool {
 		return c.count(set, status) < majority(set)
 	})
 }
@@ -420,7 +432,7 @@
 	count := 0
 
 	for _, seat := range set {
-		if slices.Contains(statuses, c.seats[seat].status) {
+		if slices.Contains(statuses, c.seatStates[seat].status) {
 			count++
 		}
 	}
@@ -429,7 +441,7 @@
 }
 
 func (c *Claimant) assertMajorities() {
-	invariant.Assert(c.everySet(Granted), "claim: a run has a majority of every holder set",
+	invariant.Assert(c.majorityInEverySet(Granted), "claim: a run has a majority of every holder set",
 		slog.String("key", c.key.Token))
 }
 
--- a/internal/coordination/claim/claimant_test.go
+++ b/internal/coordination/claim/claimant_test.go
@@ -13,7 +13,7 @@
 	"jayspindle/internal/state/view"
 )
 
-func members(from, to int) []view.Agent {
+func activeAgents(from, to int) []view.Agent {
 	var agents []view.Agent
 	for i := from; i <= to; i++ {
 		agents = append(agents, view.Agent{
@@ -26,26 +26,28 @@
 
 func newHistory(agents int) *claim.History {
 	history := claim.NewHistory(start, retention, maxUnconfirmed)
-	history.Observe(start, view.Position{Index: 1}, members(1, agents))
+	history.Observe(start, view.Position{Index: 1}, activeAgents(1, agents))
 	history.AssumeFirst(start)
 	history.Confirm(start)
 
 	return history
 }
 
-// newClaim begins a claim of execution two with members 1 to agents.
-func newClaim(t *testing.T, key claim.Key, agents int) *claim.Claimant {
+// newClaimant begins a claim of secondExecution with members 1 to agents.
+func newClaimant(t *testing.T, key claim.Key, agents int) *claim.Claimant {
 	t.Helper()
 
-	return claim.Begin(start, key, two, newHistory(agents))
+	return claim.Begin(start, key, secondExecution, newHistory(agents))
 }
 
-// answerWith replies from the seats 1, 2 and 3 in turn. Status 0 is no reply.
-func answerWith(c *claim.Claimant, owner claim.Execution, statuses ...claim.Status) {
+// deliverReplies delivers replies to a Grant from the seats 1, 2 and 3 in turn.
+// Status 0 stands for no reply.
+func deliverReplies(c *claim.Claimant, owner claim.Execution, statuses ...claim.Status) {
 	for i, status := range statuses {
 		if status != 0 {
 			reply := claim.Reply{
-				Status: status, Seat: view.Incarnation(i + 1), Key: key, Execution: two, Owner: owner, Verb: claim.Grant,
+				Status: status, Seat: view.Incarnation(i + 1), Key: key,
+				Execution: secondExecution, Owner: owner, Verb: claim.Grant,
 			}
 			c.Reply(start, reply)
 			c.Reply(start, reply) // duplicates change nothing
@@ -53,32 +55,45 @@
 	}
 }
 
-// TestVerdicts guards against a guess in place of "unknown", a "not run" that
-// may be wrong, and a run without a majority.
+// TestVerdicts guards against a definite verdict where the outcome is unknown,
+// against NotRun where an execution may have run, and against a run without a
+// majority.
 func TestVerdicts(t *testing.T) {
-	dead := claim.Execution{Agent: 77, Sequence: 1}
+	departed := claim.Execution{Agent: 77, Sequence: 1}
 	cases := map[string]struct {
 		owner   claim.Execution
 		replies []claim.Status
 		want    claim.Verdict
 	}{
-		"all grant":                    {one, []claim.Status{claim.Granted, claim.Granted, claim.Granted}, claim.Run},
-		"one holder lost":              {one, []claim.Status{claim.Granted, 0, claim.Granted}, claim.Run},
-		"minority held by the dead":    {dead, []claim.Status{claim.Held, claim.Granted, claim.Granted}, claim.Run},
-		"two holders lost":             {one, []claim.Status{claim.Granted}, claim.Unknown},
-		"running elsewhere":            {one, []claim.Status{claim.Held, claim.Held, claim.Granted}, claim.InProgress},
-		"split with another":           {one, []claim.Status{claim.Granted, claim.Held}, claim.InProgress},
-		"claimant died with the claim": {dead, []claim.Status{claim.Held, claim.Held, claim.Granted}, claim.Unknown},
-		"no room":                      {one, []claim.Status{claim.Full, claim.Full, claim.Granted}, claim.NotRun},
-		"no room, two lost":            {one, []claim.Status{claim.Full}, claim.Unknown},
-		"no room, held by the dead":    {dead, []claim.Status{claim.Full, claim.Held, claim.Held}, claim.Unknown},
+		"all grant": {
+			firstExecution, []claim.Status{claim.Granted, claim.Granted, claim.Granted}, claim.Run,
+		},
+		"one holder lost": {firstExecution, []claim.Status{claim.Granted, 0, claim.Granted}, claim.Run},
+		"minority held by a departed agent": {
+			departed, []claim.Status{claim.Held, claim.Granted, claim.Granted}, claim.Run,
+		},
+		"two holders lost": {firstExecution, []claim.Status{claim.Granted}, claim.Unknown},
+		"running at another agent": {
+			firstExecution, []claim.Status{claim.Held, claim.Held, claim.Granted}, claim.InProgress,
+		},
+		"one holder granted to another": {
+			firstExecution, []claim.Status{claim.Granted, claim.Held}, claim.InProgress,
+		},
+		"majority held by a departed agent": {
+			departed, []claim.Status{claim.Held, claim.Held, claim.Granted}, claim.Unknown,
+		},
+		"no room":                   {firstExecution, []claim.Status{claim.Full, claim.Full, claim.Granted}, claim.NotRun},
+		"no room, two holders lost": {firstExecution, []claim.Status{claim.Full}, claim.Unknown},
+		"no room, held by a departed agent": {
+			departed, []claim.Status{claim.Full, claim.Held, claim.Held}, claim.Unknown,
+		},
 	}
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			claimant := newClaim(t, key, 3)
-			answerWith(claimant, c.owner, c.replies...)
+			claimant := newClaimant(t, key, 3)
+			deliverReplies(claimant, c.owner, c.replies...)
 			claimant.Tick(start.Add(claim.ClaimTimeout))
 			is.Equal(claimant.Decision().Verdict, c.want)
 
@@ -89,18 +104,18 @@
 	}
 }
 
-// TestReplay guards against an answer that is lost although a holder has it:
-// the others learn of it from the claimant.
+// TestReplay guards against an answer that is lost although one holder has it.
+// The claimant must send the answer to the other holders.
 func TestReplay(t *testing.T) {
 	for _, answer := range []claim.Answer{
 		claim.NewAnswer([]byte("done")), claim.NewAnswer(make([]byte, claim.MaxAnswer+1)), {Unknown: true},
 	} {
 		is := is.New(t)
-		claimant := newClaim(t, key, 3)
-		answerWith(claimant, claim.Execution{Agent: 77}, claim.Held, claim.Held)
-		is.Equal(claimant.Decision().Verdict, claim.Pending) // the third may know
+		claimant := newClaimant(t, key, 3)
+		deliverReplies(claimant, claim.Execution{Agent: 77}, claim.Held, claim.Held)
+		is.Equal(claimant.Decision().Verdict, claim.Pending) // the third holder may know the answer
 		claimant.Reply(start, claim.Reply{
-			Status: claim.Completed, Seat: 3, Key: key, Execution: two, Owner: one, Answer: answer,
+			Status: claim.Completed, Seat: 3, Key: key, Execution: secondExecution, Owner: firstExecution, Answer: answer,
 		})
 
 		is.Equal(claimant.Decision().Verdict == claim.Unknown, answer.Unknown)
@@ -109,40 +124,40 @@
 		messages := claimant.Messages(start)
 		is.Equal(len(messages), 3)
 		is.Equal(messages[0].Request.Verb, claim.Complete)
-		is.Equal(messages[0].Request.Execution, one)
+		is.Equal(messages[0].Request.Execution, firstExecution)
 	}
 }
 
-// TestMoved guards against claims that go on asking an agent whose seat has
-// moved.
+// TestMoved guards against a claimant that continues to send requests to an
+// agent whose seat has moved.
 func TestMoved(t *testing.T) {
 	is := is.New(t)
-	claimant := newClaim(t, key, 3)
+	claimant := newClaimant(t, key, 3)
 	claimant.Messages(start)
-	claimant.Reply(start, claim.Reply{Status: claim.Moved, Seat: 1, Key: key, Execution: two, Successor: 3})
+	claimant.Reply(start, claim.Reply{Status: claim.Moved, Seat: 1, Key: key, Execution: secondExecution, Successor: 3})
 
 	message := claimant.Messages(start)[0]
 	is.Equal(message.Request.Seat, view.Incarnation(1))
 	is.Equal(message.To, view.Incarnation(3))
 }
 
-// TestHandOver guards against a hand-over after a long pause, when the holders
-// may forget the claim too early, and against a second hand-over.
+// TestHandOver guards against a hand-over after a long pause, whose claim the
+// holders may drop too early, and against a second hand-over.
 func TestHandOver(t *testing.T) {
 	is := is.New(t)
-	paused := newClaim(t, key, 3)
-	answerWith(paused, one, claim.Granted, claim.Granted)
+	paused := newClaimant(t, key, 3)
+	deliverReplies(paused, firstExecution, claim.Granted, claim.Granted)
 	is.Equal(paused.HandOver(start.Add(claim.HandOverLimit+1)), false)
 	is.Equal(paused.Decision().Verdict, claim.NotRun)
 	is.Equal(paused.Messages(start.Add(claim.HandOverLimit + 1))[0].Request.Verb, claim.Release)
 
-	running := newClaim(t, key, 3)
-	answerWith(running, one, claim.Granted, claim.Granted)
+	running := newClaimant(t, key, 3)
+	deliverReplies(running, firstExecution, claim.Granted, claim.Granted)
 	is.True(running.HandOver(start))
 	assertViolation(t, func() { running.HandOver(start) })
 	assertViolation(t, func() { running.Abandon(start) })
-	assertViolation(t, func() { newClaim(t, key, 3).HandOver(start) })
-	assertViolation(t, func() { newClaim(t, key, 3).Complete(start, claim.Answer{}) })
+	assertViolation(t, func() { newClaimant(t, key, 3).HandOver(start) })
+	assertViolation(t, func() { newClaimant(t, key, 3).Complete(start, claim.Answer{}) })
 }
 
 func assertViolation(t *testing.T, do func()) {
@@ -158,38 +173,38 @@
 	do()
 }
 
-// TestHistory guards against claims by an agent that does not know the
+// TestHistory guards against claims by an agent that does not know all
 // memberships of the window, or knows only old ones.
 func TestHistory(t *testing.T) {
 	is := is.New(t)
 	now := start.Add(time.Hour)
 	fresh := claim.NewHistory(now, retention, maxUnconfirmed)
-	fresh.Observe(now, view.Position{Index: 5}, members(1, 5))
+	fresh.Observe(now, view.Position{Index: 5}, activeAgents(1, 5))
 	fresh.Confirm(now)
-	is.Equal(claim.Begin(now, key, two, fresh).Decision().Reason, claim.ReasonHistory)
+	is.Equal(claim.Begin(now, key, secondExecution, fresh).Decision().Reason, claim.ReasonHistory)
 
 	behind := newHistory(4)
 	fresh.Merge(now, behind.Past(now))
 	is.True(!fresh.Complete(now)) // memberships between the two are unknown
 
-	behind.Observe(now, view.Position{Index: 5}, members(1, 5))
+	behind.Observe(now, view.Position{Index: 5}, activeAgents(1, 5))
 	fresh.Merge(now, behind.Past(now))
 	is.True(fresh.Complete(now))
 	is.True(fresh.Complete(now.Add(maxUnconfirmed)))
 	is.True(!fresh.Complete(now.Add(maxUnconfirmed + 1))) // isolated for too long
 }
 
-// TestSets guards against claims that ignore a former membership, holders in
-// one availability zone and a few agents that hold most keys, with hundreds of
-// siblings and thousands of keys.
+// TestSets guards against claims that ignore an earlier membership, against
+// holders in the same availability zone, and against an uneven spread of keys
+// over the agents, with hundreds of agents and thousands of keys.
 func TestSets(t *testing.T) {
 	const agents, keys = 300, 3000
 
 	is := is.New(t)
 	history := newHistory(agents)
-	history.Observe(start.Add(time.Second), view.Position{Index: 2}, members(2, agents+1))
+	history.Observe(start.Add(time.Second), view.Position{Index: 2}, activeAgents(2, agents+1))
 
-	held := make(map[view.Incarnation]int)
+	keysPerSeat := make(map[view.Incarnation]int)
 	changed := 0
 
 	for i := range keys {
@@ -197,7 +212,7 @@
 		changed += len(sets) - 1
 
 		for _, seat := range sets[0] {
-			held[seat]++
+			keysPerSeat[seat]++
 		}
 
 		is.Equal(len(sets[0]), claim.Holders)
@@ -206,15 +221,15 @@
 
 	is.True(changed > 30 && changed < 120) // 2 of 300 agents changed
 
-	for _, count := range held {
+	for _, count := range keysPerSeat {
 		is.True(count > 8 && count < 70) // 30 on average
 	}
 
 	is.Equal(len(newHistory(2).Sets(start, key)[0]), 2) // fewer agents than holders
 }
 
-// TestClaimantDies guards against a second run, and against a key that is lost
-// for ever, when the claimant dies before or after its hand-over.
+// TestClaimantDies guards against a second run, and against a key that stays
+// blocked, when the claimant fails before or after its hand-over.
 func TestClaimantDies(t *testing.T) {
 	for granted := 0; granted <= 3; granted++ {
 		for _, completed := range []bool{false, true} {
@@ -233,7 +248,7 @@
 				}
 			}
 
-			claimant := newClaim(t, key, 3)
+			claimant := newClaimant(t, key, 3)
 			for _, message := range claimant.Messages(start) {
 				claimant.Reply(start, stores[message.To-1].Handle(start, message.Request))
 			}
--- a/internal/coordination/claim/doc.go
+++ b/internal/coordination/claim/doc.go
@@ -3,6 +3,10 @@
 //
 // # Usage
 //
+// A seat is the role of one agent as a holder of claims. Its ID is the
+// incarnation of that agent and stays the same when another agent takes the seat
+// over.
+//
 // Each agent keeps a Store, which answers for its seat, and a History of the
 // memberships of its service. For each request with an idempotency key:
 //
@@ -15,13 +19,13 @@
 //	switch claimant.Decision().Verdict {
 //	case claim.Run:
 //		if claimant.HandOver(now) {
-//			// Hand over. Afterwards:
+//			// Send the request to the backend server. Afterwards:
 //			claimant.Complete(now, claim.NewAnswer(response))
 //		}
 //	}
 //
-// After a decision, Messages goes on until Done: holders learn the answer, or
-// the claim is released.
+// After a decision, continue to send Messages until Done returns true: they
+// record the answer with the holders or release the claim.
 //
 // # Safety
 //
@@ -31,30 +35,31 @@
 // execution, so two executions that share one membership cannot both have a
 // majority of its holders.
 //
-// This survives, for every membership in the window:
+// The guarantee holds despite the following faults, in every membership in the
+// window:
 //
-//   - the silent loss of one of 3 holders: claims and answers remain;
-//   - any number of planned leaves, if each leaving agent moves its seats to a
-//     sibling (Export and Import);
-//   - lost, late, duplicated and reordered messages, and the loss of any
-//     claimant at any moment.
+//   - one of 3 holders fails without notice: claims and answers remain;
+//   - any number of agents leave as planned, if each of them moves its seats to
+//     a sibling (Export and Import);
+//   - messages are lost, late, duplicated or reordered;
+//   - any claimant fails at any time.
 //
-// With two of 3 holders of one membership lost silently, no claim on their keys
-// succeeds until that membership has left the window. The verdict is then
+// If two of 3 holders of one membership fail without notice, no claim on their
+// keys succeeds until that membership has left the window. The verdict is then
 // Unknown, never a second run.
 //
-// It does not survive the loss of all agents of a service at once, because
-// claims are kept in memory, and relies on three conditions: clocks of
+// The guarantee does not survive the loss of all agents of a service at once,
+// because claims are kept in memory. It relies on three conditions: the clocks of
 // different agents advance at the same rate; a seat is held by one agent; two
 // agents that claim have seen a common membership in the window, which holds if
-// one lasted longer than views take to reach all agents.
+// one membership lasted longer than views take to reach all agents.
 //
-// "Not run" refers to the start of the claim: no execution of the key had been
-// handed over before, and this one never will be. If another execution that
-// runs at the same time holds the key, the verdict is InProgress.
+// The verdict NotRun refers to the start of the claim: no execution of the key
+// had been handed over before, and this one never will be. If another execution
+// that runs at the same time holds the key, the verdict is InProgress.
 //
-// The records of a store are bounded. At the bound, keys without a record are
-// refused with Full, and records are kept until they expire.
+// The number of records of a store is limited. A full store answers Full for
+// keys without a record, and keeps its records until they expire.
 //
-// The types are not safe for concurrent use: one goroutine owns them.
+// The types are not safe for concurrent use.
 package claim
--- a/internal/coordination/claim/history.go
+++ b/internal/coordination/claim/history.go
@@ -23,39 +23,39 @@
 // membership is the set of active agents of the service in a range of views.
 type membership struct {
 	position   view.Position // of the first view with these members
-	members    []Member      // by rising incarnation
+	members    []Member      // in ascending order of incarnation
 	replacedAt time.Time     // zero while in force
 }
 
-// History knows the memberships of a service within a window. Claims of every
-// membership in the window are counted, so that a change of membership cannot
-// split two claims of one key.
+// History holds the memberships of a service within a window. A claim needs a
+// majority in every membership of the window, so that two claims of one key
+// cannot both succeed after a change of membership.
 type History struct {
 	window         time.Duration
 	maxUnconfirmed time.Duration
-	since          time.Time // the history is complete from here on
-	confirmed      time.Time // a leader confirmed the newest view
+	completeSince  time.Time // the history is complete from this time on
+	confirmedAt    time.Time // when a leader last confirmed the newest view
 	memberships    []membership
-	moved          map[view.Incarnation]view.Incarnation
+	successors     map[view.Incarnation]view.Incarnation
 }
 
 // NewHistory returns an empty history for claims that are kept for the
 // retention. It becomes complete when it has observed views for the window, or
 // by Merge with the history of a sibling.
 //
-// The window is longer than the retention: an agent may use a view that nobody
-// confirmed for maxUnconfirmed, and stores keep claims for HandOverLimit longer
-// than the retention.
+// The window is longer than the retention, because an agent may use a view that
+// has not been confirmed for maxUnconfirmed, and stores keep claims for
+// HandOverLimit longer than the retention.
 func NewHistory(now time.Time, retention, maxUnconfirmed time.Duration) *History {
 	return &History{
 		window:         retention + maxUnconfirmed + 2*HandOverLimit,
 		maxUnconfirmed: maxUnconfirmed,
-		since:          now,
-		moved:          make(map[view.Incarnation]view.Incarnation),
+		completeSince:  now,
+		successors:     make(map[view.Incarnation]view.Incarnation),
 	}
 }
 
-// Observe applies the agents of the service from a view.
+// Observe records the agents of the service in a view as the newest membership.
 func (h *History) Observe(now time.Time, position view.Position, agents []view.Agent) {
 	members := membersOf(agents)
 	if len(members) == 0 {
@@ -111,37 +111,38 @@
 
 	h.memberships = slices.Delete(h.memberships, 0, old)
 
-	for seat := range h.moved {
-		if !h.knows(seat) {
-			delete(h.moved, seat)
+	for seat := range h.successors {
+		if !h.containsSeat(seat) {
+			delete(h.successors, seat)
 		}
 	}
 }
 
-// knows reports whether the seat is in any membership of the window.
-func (h *History) knows(seat view.Incarnation) bool {
+// containsSeat reports whether the seat is in any membership of the window.
+func (h *History) containsSeat(seat view.Incarnation) bool {
 	return slices.ContainsFunc(h.memberships, func(m membership) bool {
 		return slices.ContainsFunc(m.members, func(member Member) bool { return member.Incarnation == seat })
 	})
 }
 
 // Confirm records that a leader confirmed the position of the newest view.
-func (h *History) Confirm(now time.Time) { h.confirmed = now }
+func (h *History) Confirm(now time.Time) { h.confirmedAt = now }
 
 // Complete reports whether the history covers the window and is recent enough
 // to claim. An agent that was isolated for longer may know only memberships
-// that the others have forgotten.
+// that the other agents have already dropped.
 func (h *History) Complete(now time.Time) bool {
-	return len(h.memberships) > 0 && now.Sub(h.since) >= h.window && now.Sub(h.confirmed) <= h.maxUnconfirmed
+	return len(h.memberships) > 0 && now.Sub(h.completeSince) >= h.window && now.Sub(h.confirmedAt) <= h.maxUnconfirmed
 }
 
-// AssumeFirst declares that no claim exists from before. The shell may call it
-// only for the first agents of a new service, after all members in force have
-// promised not to claim under older memberships. Those that consist of the same
-// agents are dropped: while a service starts, its first agent is alone for a
-// moment, and its loss would block every key for the whole window.
+// AssumeFirst declares that no earlier claim exists. It may be called only for
+// the first agents of a new service, after all members in force have promised
+// not to claim under older memberships. Older memberships whose members are all
+// in the newest one are dropped: while a service starts, its first agent is the
+// only member for a short time, and if it failed, every key would be blocked for
+// the whole window.
 func (h *History) AssumeFirst(now time.Time) {
-	h.since = now.Add(-h.window)
+	h.completeSince = now.Add(-h.window)
 
 	if len(h.memberships) == 0 {
 		return
@@ -166,14 +167,14 @@
 
 // Move records that another agent answers for the seat.
 func (h *History) Move(seat, successor view.Incarnation) {
-	if h.knows(seat) {
-		h.moved[seat] = successor
+	if h.containsSeat(seat) {
+		h.successors[seat] = successor
 	}
 }
 
 // Holder returns the agent that answers for the seat.
 func (h *History) Holder(seat view.Incarnation) view.Incarnation {
-	if successor, ok := h.moved[seat]; ok {
+	if successor, ok := h.successors[seat]; ok {
 		return successor
 	}
 
@@ -209,22 +210,23 @@
 }
 
 // holdersOf returns the seats of the key by rendezvous hashing (Thaler and
-// Ravishankar, 1998): the best agent, then the best ones in other availability
-// zones, and then, if there are too few zones, the best of the rest.
+// Ravishankar, 1998): the agent with the highest score, then the highest ones in
+// other availability zones, and then, if there are too few zones, the highest of
+// the remaining agents.
 func holdersOf(members []Member, key Key) []view.Incarnation {
 	scores := make([]uint64, len(members))
 	for i, member := range members {
-		scores[i] = score(member.Incarnation, key)
+		scores[i] = rendezvousScore(member.Incarnation, key)
 	}
 
 	var picked []Member
 
 	for len(picked) < min(len(members), Holders) {
-		next := best(members, scores, func(m Member) bool {
+		next := highestScoring(members, scores, func(m Member) bool {
 			return slices.ContainsFunc(picked, func(p Member) bool { return p.Zone == m.Zone })
 		})
 		if next < 0 {
-			next = best(members, scores, func(m Member) bool { return slices.Contains(picked, m) })
+			next = highestScoring(members, scores, func(m Member) bool { return slices.Contains(picked, m) })
 		}
 
 		picked = append(picked, members[next])
@@ -240,9 +242,9 @@
 	return holders
 }
 
-// best returns the index of the member with the highest score, -1 if all are
-// excluded. Of equal scores, the lower incarnation wins.
-func best(members []Member, scores []uint64, excluded func(Member) bool) int {
+// highestScoring returns the index of the member with the highest score, -1 if
+// all are excluded. Of equal scores, the lower incarnation wins.
+func highestScoring(members []Member, scores []uint64, excluded func(Member) bool) int {
 	found := -1
 
 	for i, member := range members {
@@ -254,7 +256,7 @@
 	return found
 }
 
-func score(incarnation view.Incarnation, key Key) uint64 {
+func rendezvousScore(incarnation view.Incarnation, key Key) uint64 {
 	var buffer [6 + MaxToken]byte
 
 	binary.BigEndian.PutUint32(buffer[:4], uint32(incarnation))
@@ -272,18 +274,19 @@
 	Age      time.Duration `cbor:"4,keyasint"` // since it was replaced
 }
 
-// Past is a history as it is sent to an agent that has just started.
+// Past is the encoded form of a History, which an agent sends to a sibling that
+// has just started.
 type Past struct {
 	Covers time.Duration                         `cbor:"1,keyasint"`
 	Eras   []Era                                 `cbor:"2,keyasint"`
 	Moved  map[view.Incarnation]view.Incarnation `cbor:"3,keyasint,omitempty"`
 }
 
-// Past returns the history for a sibling.
+// Past returns the history in the form that is sent to a sibling.
 func (h *History) Past(now time.Time) Past {
 	h.trim(now)
 
-	past := Past{Covers: now.Sub(h.since), Moved: maps.Clone(h.moved)}
+	past := Past{Covers: now.Sub(h.completeSince), Moved: maps.Clone(h.successors)}
 	for _, m := range h.memberships {
 		era := Era{Position: m.position, Members: m.members, Replaced: !m.replacedAt.IsZero()}
 		if era.Replaced {
@@ -296,32 +299,32 @@
 	return past
 }
 
-// Merge adds the history of a sibling. Both may have seen memberships that the
-// other skipped; all of them count.
+// Merge adds the memberships that a sibling has observed. Each of the two may
+// have observed memberships that the other has missed.
 func (h *History) Merge(now time.Time, past Past) {
-	closed := h.reaches(past.Eras)
+	contiguous := h.connectsTo(past.Eras)
 
 	for _, era := range past.Eras {
 		h.insert(now, era)
 	}
 
 	for seat, successor := range past.Moved {
-		if _, ok := h.moved[seat]; !ok {
+		if _, ok := h.successors[seat]; !ok {
 			h.Move(seat, successor)
 		}
 	}
 
-	if since := now.Add(-past.Covers); closed && since.Before(h.since) {
-		h.since = since
+	if since := now.Add(-past.Covers); contiguous && since.Before(h.completeSince) {
+		h.completeSince = since
 	}
 
 	h.trim(now)
 }
 
-// reaches reports whether the eras of a sibling lead up to the first membership
-// observed here. Otherwise the sibling may be behind, and memberships between
-// the two histories would be missing.
-func (h *History) reaches(eras []Era) bool {
+// connectsTo reports whether the eras of a sibling reach the oldest membership
+// of h. Otherwise the sibling may be behind, and memberships between the two
+// histories would be missing.
+func (h *History) connectsTo(eras []Era) bool {
 	if len(eras) == 0 || len(h.memberships) == 0 {
 		return false
 	}
@@ -331,8 +334,9 @@
 	return !newest.Position.Less(oldest.position) || slices.Equal(newest.Members, oldest.members)
 }
 
+// insert adds an era at its position, unless that position is known already.
 func (h *History) insert(now time.Time, era Era) {
-	at, found := slices.BinarySearchFunc(h.memberships, era.Position, func(m membership, position view.Position) int {
+	index, found := slices.BinarySearchFunc(h.memberships, era.Position, func(m membership, position view.Position) int {
 		switch {
 		case m.position.Less(position):
 			return -1
@@ -349,13 +353,13 @@
 	added := membership{position: era.Position, members: era.Members}
 	if era.Replaced {
 		added.replacedAt = now.Add(-max(era.Age, 0))
-	} else if at < len(h.memberships) {
+	} else if index < len(h.memberships) {
 		added.replacedAt = now
 	}
 
-	if at > 0 && h.memberships[at-1].replacedAt.IsZero() {
-		h.memberships[at-1].replacedAt = now
+	if index > 0 && h.memberships[index-1].replacedAt.IsZero() {
+		h.memberships[index-1].replacedAt = now
 	}
 
-	h.memberships = slices.Insert(h.memberships, at, added)
+	h.memberships = slices.Insert(h.memberships, index, added)
 }
--- a/internal/coordination/claim/message.go
+++ b/internal/coordination/claim/message.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// MaxToken is the longest idempotency key in bytes.
+	// MaxToken is the maximum length of an idempotency key in bytes.
 	MaxToken = 128
-	// MaxAnswer is the largest stored answer in bytes.
+	// MaxAnswer is the maximum size of a stored answer in bytes.
 	MaxAnswer = 4 << 10
-	// maxMessage bounds an encoded Request or Reply in bytes.
-	maxMessage = MaxAnswer + 1<<10
-	// MaxCapacity is the largest number of records of a store. More could not be
-	// transferred: the decoder takes arrays of 65,536 elements.
+	// maxMessageBytes limits an encoded Request or Reply.
+	maxMessageBytes = MaxAnswer + 1<<10
+	// MaxCapacity is the maximum number of records of a store. More could not be
+	// transferred, because the decoder accepts arrays of at most 65,536 elements.
 	MaxCapacity = 60_000
-	// maxBulk bounds an encoded Transfer or Past in bytes: the largest store with
-	// the largest answers.
-	maxBulk = MaxCapacity * maxMessage
+	// maxBulkBytes limits an encoded Transfer or Past. It allows for a full store
+	// with answers of the maximum size.
+	maxBulkBytes = MaxCapacity * maxMessageBytes
 )
 
 // Key identifies a request across resends.
@@ -33,7 +33,7 @@
 }
 
 // Execution identifies one attempt to run a request. A restarted agent has a
-// new incarnation, so an execution is never named twice.
+// new incarnation, so an ID is never used twice.
 type Execution struct {
 	Agent    view.Incarnation `cbor:"1,keyasint"`
 	Sequence uint64           `cbor:"2,keyasint"` // never reused by the agent
@@ -41,12 +41,12 @@
 
 // Answer is the result of an execution.
 type Answer struct {
-	Body     []byte `cbor:"1,keyasint,omitempty"` // the response as the shell encodes it
+	Body     []byte `cbor:"1,keyasint,omitempty"` // the response, encoded by the caller of this package
 	TooLarge bool   `cbor:"2,keyasint,omitempty"` // the response exceeds MaxAnswer and is not kept
 	Unknown  bool   `cbor:"3,keyasint,omitempty"` // handed over, but no response arrived
 }
 
-// NewAnswer returns the answer to keep for a response.
+// NewAnswer returns the answer to store for an encoded response.
 func NewAnswer(body []byte) Answer {
 	if len(body) > MaxAnswer {
 		return Answer{TooLarge: true}
@@ -55,33 +55,33 @@
 	return Answer{Body: body}
 }
 
-// Verb is what a claimant asks of a holder.
+// Verb is the operation that a claimant requests from a holder.
 type Verb uint8
 
 // The verbs of a Request.
 const (
-	Grant Verb = iota + 1 // reserve the key for the execution
-	Complete
-	Release // the execution was not handed over and never will be
-	Lookup  // report the state of the key
+	Grant    Verb = iota + 1 // reserve the key for the execution
+	Complete                 // store the answer of the execution
+	Release                  // the execution was not handed over and never will be
+	Lookup                   // report the state of the key
 )
 
-// Status is a holder's reply.
+// Status is the state of a key at a holder, as reported in a reply.
 type Status uint8
 
 // The statuses of a Reply.
 const (
-	Granted   Status = iota + 1 // reserved for the execution that asked
+	Granted   Status = iota + 1 // reserved for the requesting execution
 	Held                        // reserved for another execution
 	Completed                   // an execution has ended
-	Released                    // the execution that asked gave up before
+	Released                    // the requesting execution has released the key
 	Free                        // not claimed
-	Full                        // not claimed, and there is no room to claim it
+	Full                        // not claimed, and the store has no room for a claim
 	Moved                       // another agent answers for the seat
 	Unseated                    // this agent does not answer for the seat
 )
 
-// Request goes from a claimant to the agent that answers for a seat.
+// Request is sent by a claimant to the agent that answers for a seat.
 type Request struct {
 	Verb      Verb             `cbor:"1,keyasint"`
 	Seat      view.Incarnation `cbor:"2,keyasint"`
@@ -103,8 +103,8 @@
 	Verb      Verb             `cbor:"8,keyasint"`           // of the request
 }
 
-// Record is one claim as it moves to another agent. Age replaces a point in
-// time, because the clocks of two agents differ.
+// Record is the encoded form of one claim in a Transfer. It holds an age in
+// place of a time, because the clocks of two agents differ.
 type Record struct {
 	Key       Key           `cbor:"1,keyasint"`
 	Execution Execution     `cbor:"2,keyasint"`
@@ -113,7 +113,7 @@
 	Age       time.Duration `cbor:"5,keyasint"`
 }
 
-// decoder refuses what a valid message cannot contain.
+// decoder rejects input that exceeds the structure of a valid message.
 var decoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
@@ -141,7 +141,7 @@
 
 // DecodeRequest decodes and checks a Request.
 func DecodeRequest(encoded []byte) (Request, error) {
-	request, err := decode[Request](encoded, maxMessage)
+	request, err := decode[Request](encoded, maxMessageBytes)
 	if err != nil {
 		return Request{}, err
 	}
@@ -149,18 +149,18 @@
 	return request, request.Check()
 }
 
-// Check reports the first field that is not allowed.
+// Check returns an error for the first invalid field.
 func (r *Request) Check() error {
 	if r.Verb < Grant || r.Verb > Lookup {
 		return newError("check request", KindEncoding, errors.Errorf("verb %d is not known", r.Verb))
 	}
 
-	return check(r.Key, r.Answer)
+	return checkLimits(r.Key, r.Answer)
 }
 
 // DecodeReply decodes and checks a Reply.
 func DecodeReply(encoded []byte) (Reply, error) {
-	reply, err := decode[Reply](encoded, maxMessage)
+	reply, err := decode[Reply](encoded, maxMessageBytes)
 	if err != nil {
 		return Reply{}, err
 	}
@@ -168,18 +168,18 @@
 	return reply, reply.Check()
 }
 
-// Check reports the first field that is not allowed.
+// Check returns an error for the first invalid field.
 func (r *Reply) Check() error {
 	if r.Status < Granted || r.Status > Unseated {
 		return newError("check reply", KindEncoding, errors.Errorf("status %d is not known", r.Status))
 	}
 
-	return check(r.Key, r.Answer)
+	return checkLimits(r.Key, r.Answer)
 }
 
 // DecodeTransfer decodes and checks a Transfer.
 func DecodeTransfer(encoded []byte) (Transfer, error) {
-	transfer, err := decode[Transfer](encoded, maxBulk)
+	transfer, err := decode[Transfer](encoded, maxBulkBytes)
 	if err != nil {
 		return Transfer{}, err
 	}
@@ -193,7 +193,7 @@
 			return Transfer{}, newError("decode transfer", KindLimit, errors.Errorf("negative age %s", r.Age))
 		}
 
-		if err := check(r.Key, r.Answer); err != nil {
+		if err := checkLimits(r.Key, r.Answer); err != nil {
 			return Transfer{}, err
 		}
 	}
@@ -203,7 +203,7 @@
 
 // DecodePast decodes and checks a Past.
 func DecodePast(encoded []byte) (Past, error) {
-	past, err := decode[Past](encoded, maxBulk)
+	past, err := decode[Past](encoded, maxBulkBytes)
 	if err != nil {
 		return Past{}, err
 	}
@@ -211,8 +211,8 @@
 	return past, past.Check()
 }
 
-// Check reports the first membership that is not allowed. Members must rise by
-// incarnation, because ties between holders go to the first.
+// Check returns an error for the first invalid membership. Members must be in
+// ascending order of incarnation, because of equal scores the first one wins.
 func (p *Past) Check() error {
 	for _, era := range p.Eras {
 		sorted := slices.IsSortedFunc(era.Members, func(a, b Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
@@ -238,7 +238,7 @@
 	return message, nil
 }
 
-func check(key Key, answer Answer) error {
+func checkLimits(key Key, answer Answer) error {
 	if len(key.Token) == 0 || len(key.Token) > MaxToken {
 		return newError("decode", KindLimit,
 			errors.Errorf("idempotency key of %d bytes, 1 to %d are allowed", len(key.Token), MaxToken))
--- a/internal/coordination/claim/store.go
+++ b/internal/coordination/claim/store.go
@@ -11,57 +11,57 @@
 	"jayspindle/internal/state/view"
 )
 
-// tombstoneAge is how long a released claim is kept. It outlives every copy of
-// the Grant that it overtook.
-const tombstoneAge = 10 * time.Second
+// tombstoneTTL is how long the record of a released claim is kept. It exceeds
+// the time for which copies of the claim's Grant can arrive after its Release.
+const tombstoneTTL = 10 * time.Second
 
-// DefaultCapacity is the number of records of a store. It is enough for 27
+// DefaultCapacity is the default number of records of a store. It is enough for 27
 // claims a second at each holder with a retention of 10 minutes, in at most
 // 70 MB.
 const DefaultCapacity = 1 << 14
 
-// record is what a seat knows of a key.
+// record is the state of a key at a seat.
 type record struct {
 	seat      view.Incarnation
 	key       Key
 	execution Execution
 	status    Status // Granted, Completed or Released
 	answer    Answer
-	since     time.Time // of the grant
+	createdAt time.Time // the time of the grant, or of the release or completion without one
 }
 
-// place identifies a record.
-type place struct {
+// recordID identifies a record.
+type recordID struct {
 	seat view.Incarnation
 	key  Key
 }
 
-func (r *record) place() place { return place{seat: r.seat, key: r.key} }
+func (r *record) id() recordID { return recordID{seat: r.seat, key: r.key} }
 
-// Store holds the claims of one agent: those of its own seat and of the seats
-// it took over. It holds at most a fixed number of records of at most MaxAnswer
-// plus MaxToken bytes each.
+// Store holds the claims at the seats of one agent: its own seat and those that
+// it took over. The number of records is limited, and each of them holds at most
+// MaxAnswer plus MaxToken bytes.
 type Store struct {
-	retention time.Duration
-	capacity  int
-	records   map[place]*list.Element
-	order     *list.List // of *record, oldest grant first
-	released  *list.List // of *record, oldest release first
-	seats     map[view.Incarnation]bool
-	moved     map[view.Incarnation]view.Incarnation
+	retention     time.Duration
+	capacity      int
+	records       map[recordID]*list.Element
+	byGrantTime   *list.List // of *record with status Granted or Completed, oldest first
+	byReleaseTime *list.List // of *record with status Released, oldest first
+	seats         map[view.Incarnation]bool
+	successors    map[view.Incarnation]view.Incarnation
 }
 
 // NewStore returns an empty store that answers for the agent's own seat. It
 // keeps a claim for the retention after the latest possible hand-over.
 func NewStore(own view.Incarnation, retention time.Duration, capacity int) *Store {
 	return &Store{
-		retention: retention + HandOverLimit,
-		capacity:  capacity,
-		records:   make(map[place]*list.Element),
-		order:     list.New(),
-		released:  list.New(),
-		seats:     map[view.Incarnation]bool{own: true},
-		moved:     make(map[view.Incarnation]view.Incarnation),
+		retention:     retention + HandOverLimit,
+		capacity:      capacity,
+		records:       make(map[recordID]*list.Element),
+		byGrantTime:   list.New(),
+		byReleaseTime: list.New(),
+		seats:         map[view.Incarnation]bool{own: true},
+		successors:    make(map[view.Incarnation]view.Incarnation),
 	}
 }
 
@@ -71,7 +71,7 @@
 
 	reply := Reply{Seat: request.Seat, Key: request.Key, Execution: request.Execution, Verb: request.Verb}
 
-	if successor, ok := s.moved[request.Seat]; ok {
+	if successor, ok := s.successors[request.Seat]; ok {
 		reply.Status = Moved
 		reply.Successor = successor
 
@@ -84,26 +84,27 @@
 		return reply
 	}
 
-	at := place{seat: request.Seat, key: request.Key}
+	id := recordID{seat: request.Seat, key: request.Key}
 
 	switch request.Verb {
 	case Grant:
-		s.grant(now, at, request.Execution)
+		s.grant(now, id, request.Execution)
 	case Complete:
-		s.complete(now, at, request.Execution, request.Answer)
+		s.complete(now, id, request.Execution, request.Answer)
 	case Release:
-		s.release(now, at, request.Execution)
+		s.release(now, id, request.Execution)
 	case Lookup:
 	}
 
-	s.describe(&reply, at)
+	s.setStatus(&reply, id)
 
 	return reply
 }
 
-// describe sets the status of the key as the execution that asked sees it.
-func (s *Store) describe(reply *Reply, at place) {
-	r := s.find(at)
+// setStatus fills the reply with the state of the key from the point of view of
+// the requesting execution.
+func (s *Store) setStatus(reply *Reply, id recordID) {
+	r := s.find(id)
 
 	switch {
 	case r == nil && len(s.records) >= s.capacity:
@@ -127,23 +128,23 @@
 }
 
 // grant reserves a free key. A released key is free for other executions.
-func (s *Store) grant(now time.Time, at place, execution Execution) {
-	r := s.find(at)
+func (s *Store) grant(now time.Time, id recordID, execution Execution) {
+	r := s.find(id)
 	if r != nil && (r.status != Released || r.execution == execution) {
 		return
 	}
 
-	s.put(&record{seat: at.seat, key: at.key, execution: execution, status: Granted, since: now})
+	s.put(&record{seat: id.seat, key: id.key, execution: execution, status: Granted, createdAt: now})
 }
 
-// complete records that an execution has ended. Only an execution with a
-// majority of every holder set runs, so it overrides a grant of another one.
-func (s *Store) complete(now time.Time, at place, execution Execution, answer Answer) {
-	r := s.find(at)
+// complete records that an execution has ended. It overrides a grant to another
+// execution, because only an execution with a majority of every holder set runs.
+func (s *Store) complete(now time.Time, id recordID, execution Execution, answer Answer) {
+	r := s.find(id)
 
 	switch {
 	case r == nil || r.status == Released:
-		s.put(&record{seat: at.seat, key: at.key, execution: execution, status: Completed, answer: answer, since: now})
+		s.put(&record{seat: id.seat, key: id.key, execution: execution, status: Completed, answer: answer, createdAt: now})
 	case r.status == Granted:
 		r.status = Completed
 		r.execution = execution
@@ -153,34 +154,35 @@
 
 // release frees the key and leaves a tombstone, so that a late copy of the
 // execution's Grant does not reserve the key again.
-func (s *Store) release(now time.Time, at place, execution Execution) {
-	r := s.find(at)
+func (s *Store) release(now time.Time, id recordID, execution Execution) {
+	r := s.find(id)
 	if r != nil && (r.status != Granted || r.execution != execution) {
 		return
 	}
 
-	s.put(&record{seat: at.seat, key: at.key, execution: execution, status: Released, since: now})
+	s.put(&record{seat: id.seat, key: id.key, execution: execution, status: Released, createdAt: now})
 }
 
-// put adds a record if there is room, in place of an earlier one of its key.
+// put replaces the record of the same seat and key, or adds a record if there is
+// room.
 func (s *Store) put(r *record) {
-	at := r.place()
+	id := r.id()
 
-	if earlier, ok := s.records[at]; ok {
-		s.drop(earlier)
+	if existing, ok := s.records[id]; ok {
+		s.drop(existing)
 	}
 
 	if len(s.records) >= s.capacity {
 		return
 	}
 
-	s.records[at] = s.listOf(r).PushBack(r)
+	s.records[id] = s.listOf(r).PushBack(r)
 	invariant.Assert(len(s.records) <= s.capacity, "claim: the store is bounded",
 		slog.Int("records", len(s.records)), slog.Int("capacity", s.capacity))
 }
 
-func (s *Store) find(at place) *record {
-	element, ok := s.records[at]
+func (s *Store) find(id recordID) *record {
+	element, ok := s.records[id]
 	if !ok {
 		return nil
 	}
@@ -190,28 +192,29 @@
 
 func (s *Store) drop(element *list.Element) {
 	r := element.Value.(*record)
-	delete(s.records, r.place())
+	delete(s.records, r.id())
 	s.listOf(r).Remove(element)
 }
 
 // listOf returns the list that holds records of this status.
 func (s *Store) listOf(r *record) *list.List {
 	if r.status == Released {
-		return s.released
+		return s.byReleaseTime
 	}
 
-	return s.order
+	return s.byGrantTime
 }
 
-// Expire drops what is older than the retention.
+// Expire drops claims that are older than the retention, and tombstones that are
+// older than tombstoneTTL.
 func (s *Store) Expire(now time.Time) {
-	s.expire(now, s.order, s.retention)
-	s.expire(now, s.released, min(tombstoneAge, s.retention))
+	s.expire(now, s.byGrantTime, s.retention)
+	s.expire(now, s.byReleaseTime, min(tombstoneTTL, s.retention))
 }
 
-func (s *Store) expire(now time.Time, records *list.List, age time.Duration) {
+func (s *Store) expire(now time.Time, records *list.List, ttl time.Duration) {
 	for element := records.Front(); element != nil; element = records.Front() {
-		if now.Sub(element.Value.(*record).since) < age {
+		if now.Sub(element.Value.(*record).createdAt) < ttl {
 			return
 		}
 
@@ -239,10 +242,10 @@
 }
 
 // Export stops answering for the seat and returns its claims. From then on the
-// store refers claimants to the successor. The seat has no holder until the
-// successor has imported the transfer. Only if the successor is known to have
-// refused it may the seat be taken back with Restore: two holders of one seat
-// could grant a key twice.
+// store refers claimants to the successor. No agent answers for the seat until
+// the successor has imported the transfer. Restore may take the seat back only
+// if the successor is known to have refused the transfer, because two agents
+// that answer for one seat could grant a key twice.
 func (s *Store) Export(now time.Time, seat, successor view.Incarnation) (Transfer, error) {
 	s.Expire(now)
 
@@ -252,13 +255,13 @@
 
 	transfer := Transfer{Seat: seat}
 
-	for _, records := range []*list.List{s.order, s.released} {
+	for _, records := range []*list.List{s.byGrantTime, s.byReleaseTime} {
 		for element := records.Front(); element != nil; {
 			next := element.Next()
 
 			if r := element.Value.(*record); r.seat == seat {
 				transfer.Records = append(transfer.Records, Record{
-					Key: r.key, Execution: r.execution, Status: r.status, Answer: r.answer, Age: now.Sub(r.since),
+					Key: r.key, Execution: r.execution, Status: r.status, Answer: r.answer, Age: now.Sub(r.createdAt),
 				})
 				s.drop(element)
 			}
@@ -268,22 +271,22 @@
 	}
 
 	delete(s.seats, seat)
-	s.moved[seat] = successor
+	s.successors[seat] = successor
 
 	return transfer, nil
 }
 
 // Restore takes back a seat whose transfer the successor refused.
 func (s *Store) Restore(now time.Time, transfer Transfer) error {
-	successor, ok := s.moved[transfer.Seat]
+	successor, ok := s.successors[transfer.Seat]
 	if !ok {
 		return newError("restore", KindSeat, errors.Errorf("seat %d has not left", transfer.Seat))
 	}
 
-	delete(s.moved, transfer.Seat)
+	delete(s.successors, transfer.Seat)
 
 	if err := s.Import(now, transfer); err != nil {
-		s.moved[transfer.Seat] = successor
+		s.successors[transfer.Seat] = successor
 
 		return err
 	}
@@ -291,13 +294,14 @@
 	return nil
 }
 
-// Import takes a seat over. It refuses a transfer for which there is no room:
-// dropping a claim early could let its request run twice. It also refuses a
-// seat that has left this store, because the transfer may be an old copy.
+// Import takes over a seat. It refuses a transfer for which there is no room,
+// because a claim that is dropped early could let its request run twice. It also
+// refuses a seat that this store has exported, because the transfer may be an
+// old copy.
 func (s *Store) Import(now time.Time, transfer Transfer) error {
 	s.Expire(now)
 
-	if _, left := s.moved[transfer.Seat]; left || s.seats[transfer.Seat] {
+	if _, left := s.successors[transfer.Seat]; left || s.seats[transfer.Seat] {
 		return newError("import", KindSeat, errors.Errorf("seat %d is or was held here", transfer.Seat))
 	}
 
@@ -309,7 +313,7 @@
 	for _, r := range transfer.Records {
 		s.insertByAge(&record{
 			seat: transfer.Seat, key: r.Key, execution: r.Execution, status: r.Status, answer: r.Answer,
-			since: now.Add(-max(r.Age, 0)),
+			createdAt: now.Add(-max(r.Age, 0)),
 		})
 	}
 
@@ -318,18 +322,18 @@
 	return nil
 }
 
-// insertByAge inserts a record that is older than the newest ones.
+// insertByAge inserts a record into its list, which is sorted by creation time.
 func (s *Store) insertByAge(r *record) {
 	target := s.listOf(r)
 
-	after := target.Back()
-	for after != nil && after.Value.(*record).since.After(r.since) {
-		after = after.Prev()
+	predecessor := target.Back()
+	for predecessor != nil && predecessor.Value.(*record).createdAt.After(r.createdAt) {
+		predecessor = predecessor.Prev()
 	}
 
-	if after == nil {
-		s.records[r.place()] = target.PushFront(r)
+	if predecessor == nil {
+		s.records[r.id()] = target.PushFront(r)
 	} else {
-		s.records[r.place()] = target.InsertAfter(r, after)
+		s.records[r.id()] = target.InsertAfter(r, predecessor)
 	}
 }
--- a/internal/coordination/claim/store_test.go
+++ b/internal/coordination/claim/store_test.go
@@ -11,10 +11,10 @@
 )
 
 var (
-	start = time.Unix(1000, 0)
-	key   = claim.Key{Service: 1, Token: "report-1"}
-	one   = claim.Execution{Agent: 1, Sequence: 1}
-	two   = claim.Execution{Agent: 2, Sequence: 1}
+	start           = time.Unix(1000, 0)
+	key             = claim.Key{Service: 1, Token: "report-1"}
+	firstExecution  = claim.Execution{Agent: 1, Sequence: 1}
+	secondExecution = claim.Execution{Agent: 2, Sequence: 1}
 )
 
 // holder is a store that answers for seat 9.
@@ -47,15 +47,15 @@
 // TestGrant guards against a seat that grants a key twice.
 func TestGrant(t *testing.T) {
 	h := newHolder(t, 10)
-	h.expect(start, claim.Lookup, one, claim.Free)
-	h.expect(start, claim.Grant, one, claim.Granted)
-	h.expect(start, claim.Grant, one, claim.Granted) // a duplicate
-	h.is.Equal(h.expect(start, claim.Grant, two, claim.Held).Owner, one)
-	h.expect(start, claim.Release, two, claim.Held) // frees nothing
-	h.expect(start, claim.Complete, one, claim.Completed)
-
-	reply := h.expect(start, claim.Grant, two, claim.Completed)
-	h.is.Equal(reply.Owner, one)
+	h.expect(start, claim.Lookup, firstExecution, claim.Free)
+	h.expect(start, claim.Grant, firstExecution, claim.Granted)
+	h.expect(start, claim.Grant, firstExecution, claim.Granted) // a duplicate
+	h.is.Equal(h.expect(start, claim.Grant, secondExecution, claim.Held).Owner, firstExecution)
+	h.expect(start, claim.Release, secondExecution, claim.Held) // frees nothing
+	h.expect(start, claim.Complete, firstExecution, claim.Completed)
+
+	reply := h.expect(start, claim.Grant, secondExecution, claim.Completed)
+	h.is.Equal(reply.Owner, firstExecution)
 	h.is.Equal(string(reply.Answer.Body), "done")
 }
 
@@ -63,24 +63,24 @@
 // would block the key for the whole retention.
 func TestTombstone(t *testing.T) {
 	h := newHolder(t, 10)
-	h.expect(start, claim.Release, one, claim.Released)
-	h.expect(start, claim.Grant, one, claim.Released)
-	h.expect(start, claim.Grant, two, claim.Granted)
+	h.expect(start, claim.Release, firstExecution, claim.Released)
+	h.expect(start, claim.Grant, firstExecution, claim.Released)
+	h.expect(start, claim.Grant, secondExecution, claim.Granted)
 }
 
-// TestRetention guards against claims that are forgotten early or kept for
-// ever, and against a clock that steps back.
+// TestRetention guards against claims that are dropped early or never, and
+// against a clock that steps back.
 func TestRetention(t *testing.T) {
 	h := newHolder(t, 10)
-	h.expect(start, claim.Grant, one, claim.Granted)
-	h.expect(start.Add(retention+claim.HandOverLimit-1), claim.Grant, two, claim.Held)
-	h.expect(start, claim.Grant, two, claim.Held)
-	h.expect(start.Add(retention+claim.HandOverLimit), claim.Lookup, two, claim.Free)
+	h.expect(start, claim.Grant, firstExecution, claim.Granted)
+	h.expect(start.Add(retention+claim.HandOverLimit-1), claim.Grant, secondExecution, claim.Held)
+	h.expect(start, claim.Grant, secondExecution, claim.Held)
+	h.expect(start.Add(retention+claim.HandOverLimit), claim.Lookup, secondExecution, claim.Free)
 	h.is.Equal(h.Len(), 0)
 }
 
 // TestCapacity guards against unbounded memory, and against a claim that is
-// dropped to make room, with thousands of keys.
+// dropped to make room for another, with thousands of keys.
 func TestCapacity(t *testing.T) {
 	const capacity = 5000
 
@@ -88,7 +88,7 @@
 	statuses := make(map[claim.Status]int)
 
 	for i := range 3 * capacity {
-		request := claim.Request{Verb: claim.Grant, Seat: 9, Key: claim.Key{Token: fmt.Sprint(i)}, Execution: one}
+		request := claim.Request{Verb: claim.Grant, Seat: 9, Key: claim.Key{Token: fmt.Sprint(i)}, Execution: firstExecution}
 		statuses[h.Handle(start.Add(time.Duration(i)), request).Status]++
 	}
 
@@ -96,50 +96,50 @@
 	h.is.Equal(statuses[claim.Full], 2*capacity)
 	h.is.Equal(h.Len(), capacity)
 
-	oldest := claim.Request{Verb: claim.Grant, Seat: 9, Key: claim.Key{Token: "0"}, Execution: two}
+	oldest := claim.Request{Verb: claim.Grant, Seat: 9, Key: claim.Key{Token: "0"}, Execution: secondExecution}
 	h.is.Equal(h.Handle(start, oldest).Status, claim.Held)
 }
 
 // TestMove guards against claims that are lost or held twice when a seat moves.
 func TestMove(t *testing.T) {
 	from, to := newHolder(t, 10), &holder{Store: claim.NewStore(8, retention, 10), is: is.New(t)}
-	from.expect(start, claim.Grant, one, claim.Granted)
-	to.expect(start, claim.Grant, two, claim.Unseated)
+	from.expect(start, claim.Grant, firstExecution, claim.Granted)
+	to.expect(start, claim.Grant, secondExecution, claim.Unseated)
 
 	transfer, err := from.Export(start.Add(time.Second), 9, 8)
 	from.is.NoErr(err)
-	from.is.Equal(from.expect(start, claim.Grant, two, claim.Moved).Successor, to.Seats()[0])
+	from.is.Equal(from.expect(start, claim.Grant, secondExecution, claim.Moved).Successor, to.Seats()[0])
 	from.is.Equal(from.Len(), 0)
 
 	to.is.NoErr(to.Import(start.Add(time.Second), transfer))
-	to.expect(start.Add(time.Second), claim.Grant, two, claim.Held)
+	to.expect(start.Add(time.Second), claim.Grant, secondExecution, claim.Held)
 	to.is.True(to.Import(start.Add(time.Second), transfer) != nil) // a copy
-	to.expect(start.Add(retention+claim.HandOverLimit), claim.Lookup, two, claim.Free)
+	to.expect(start.Add(retention+claim.HandOverLimit), claim.Lookup, secondExecution, claim.Free)
 
 	_, err = to.Export(start.Add(time.Second), 9, 7)
 	to.is.NoErr(err)
 	to.is.True(to.Import(start.Add(time.Second), transfer) != nil) // an old copy after the seat moved on
 }
 
-// TestMoveRefused guards against a successor that drops claims for lack of
-// room, and against a seat without holder after that.
+// TestMoveRefused guards against a successor without room that drops claims, and
+// against a seat that no agent answers for after the refusal.
 func TestMoveRefused(t *testing.T) {
 	from, to := newHolder(t, 10), &holder{Store: claim.NewStore(8, retention, 0), is: is.New(t)}
-	from.expect(start, claim.Grant, one, claim.Granted)
+	from.expect(start, claim.Grant, firstExecution, claim.Granted)
 
 	transfer, err := from.Export(start, 9, 8)
 	from.is.NoErr(err)
 	from.is.True(to.Import(start, transfer) != nil)
 	from.is.NoErr(from.Restore(start, transfer))
-	from.expect(start, claim.Grant, two, claim.Held)
+	from.expect(start, claim.Grant, secondExecution, claim.Held)
 	from.is.True(from.Restore(start, transfer) != nil) // it is already back
 }
 
-// FuzzDecode guards against bytes from the network that cause a panic or a
-// message beyond its limits.
+// FuzzDecode guards against bytes from the network that cause a panic or are
+// decoded to a message that exceeds its limits.
 func FuzzDecode(f *testing.F) {
-	request, _ := claim.Encode(claim.Request{Verb: claim.Grant, Seat: 9, Key: key, Execution: one})
-	reply, _ := claim.Encode(claim.Reply{Status: claim.Held, Seat: 9, Key: key, Owner: two})
+	request, _ := claim.Encode(claim.Request{Verb: claim.Grant, Seat: 9, Key: key, Execution: firstExecution})
+	reply, _ := claim.Encode(claim.Reply{Status: claim.Held, Seat: 9, Key: key, Owner: secondExecution})
 	transfer, _ := claim.Encode(claim.Transfer{Seat: 9, Records: []claim.Record{{Key: key, Status: claim.Granted}}})
 	past, _ := claim.Encode(claim.Past{Covers: 1, Eras: []claim.Era{{Members: []claim.Member{{Incarnation: 1}}}}})
 
@@ -157,7 +157,7 @@
 
 		if decoded, err := claim.DecodeReply(encoded); err == nil {
 			is.True(decoded.Status >= claim.Granted && decoded.Status <= claim.Unseated)
-			newClaim(t, decoded.Key, 3).Reply(start, decoded)
+			newClaimant(t, decoded.Key, 3).Reply(start, decoded)
 		}
 
 		if decoded, err := claim.DecodeTransfer(encoded); err == nil {
