--- a/internal/coordination/rollout/bench_test.go
+++ b/internal/coordination/rollout/bench_test.go
@@ -9,8 +9,8 @@
 	"jayspindle/internal/protocol/control"
 )
 
-// BenchmarkChange measures one change of one agent among 1,000: from the new
-// view at the publisher until every subscriber's updates are encoded.
+// BenchmarkChange measures the change of one agent among 1,000: from the new
+// view at the publisher until the updates for every subscriber are encoded.
 func BenchmarkChange(b *testing.B) {
 	for _, subscribers := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("subscribers=%d", subscribers), func(b *testing.B) {
@@ -24,24 +24,24 @@
 				cursors[i] = rollout.NewCursor(control.Watch{Position: newest.Position(), Digest: newest.Digest()})
 			}
 
-			var bytes int
+			var sentBytes int
 
 			index := uint64(1)
 			for b.Loop() {
 				index++
 				now = now.Add(rollout.CoalesceInterval)
-				newest = change(newest, index)
+				newest = changeWeight(newest, index)
 				publisher.Apply(now, newest)
 				snapshot, _ := publisher.Snapshot()
 
 				for _, cursor := range cursors {
 					for _, update := range cursor.Next(now, snapshot) {
-						bytes += len(update)
+						sentBytes += len(update)
 					}
 				}
 			}
 
-			b.ReportMetric(float64(bytes)/float64(b.N)/float64(subscribers), "bytes/subscriber/op")
+			b.ReportMetric(float64(sentBytes)/float64(b.N)/float64(subscribers), "bytes/subscriber/op")
 		})
 	}
 }
--- a/internal/coordination/rollout/cursor.go
+++ b/internal/coordination/rollout/cursor.go
@@ -7,8 +7,8 @@
 	"jayspindle/internal/state/view"
 )
 
-// Cursor decides what one subscriber gets next. It is not safe for concurrent
-// use.
+// Cursor tracks what one subscriber has been sent and selects the next updates.
+// It is not safe for concurrent use.
 type Cursor struct {
 	position    view.Position
 	digest      uint64
@@ -29,59 +29,60 @@
 		return nil
 	}
 
-	updates := c.changes(snapshot)
+	updates := c.pendingUpdates(snapshot)
 
 	if len(updates) == 0 && !now.Before(c.heartbeatAt) {
 		c.heartbeatAt = now.Add(HeartbeatInterval)
-		updates = [][]byte{heartbeat(now, snapshot)}
+		updates = [][]byte{encodeHeartbeat(now, snapshot)}
 	}
 
 	return updates
 }
 
-// changes returns the deltas or the full view that the subscriber lacks.
-func (c *Cursor) changes(snapshot *Snapshot) [][]byte {
+// pendingUpdates returns the deltas or the full view that the subscriber lacks.
+func (c *Cursor) pendingUpdates(snapshot *Snapshot) [][]byte {
 	current := snapshot.current
 
-	// A stale relay has nothing for a subscriber that is ahead of it.
+	// A relay that is behind its subscriber has nothing to send.
 	if current.Position().Less(c.position) {
 		return nil
 	}
 
-	steps, ok := snapshot.since(c.position, c.digest)
+	deltas, ok := snapshot.deltasSince(c.position, c.digest)
 	if ok {
-		return c.take(steps[:min(len(steps), maxDeltas)])
+		return c.advance(deltas[:min(len(deltas), maxDeltasPerBatch)])
 	}
 
 	c.position, c.digest = current.Position(), current.Digest()
 	c.fullViews++
 
-	return snapshot.full()
+	return snapshot.fullUpdates()
 }
 
-func (c *Cursor) take(steps []step) [][]byte {
+// advance moves the cursor behind the deltas and returns their encoded updates.
+func (c *Cursor) advance(deltas []encodedDelta) [][]byte {
 	var updates [][]byte
 
-	for _, step := range steps {
-		updates = append(updates, step.encoded)
-		c.position, c.digest = step.to, step.toDigest
+	for _, delta := range deltas {
+		updates = append(updates, delta.encoded)
+		c.position, c.digest = delta.to, delta.toDigest
 	}
 
-	c.deltas += uint64(len(steps))
+	c.deltas += uint64(len(deltas))
 
 	return updates
 }
 
-// Due returns when the next heartbeat is due.
+// Due returns the time of the next heartbeat.
 func (c *Cursor) Due() time.Time { return c.heartbeatAt }
 
-// Deltas returns the number of deltas so far.
+// Deltas returns the number of deltas sent so far.
 func (c *Cursor) Deltas() uint64 { return c.deltas }
 
-// FullViews returns the number of full views so far.
+// FullViews returns the number of full views sent so far.
 func (c *Cursor) FullViews() uint64 { return c.fullViews }
 
-func heartbeat(now time.Time, snapshot *Snapshot) []byte {
+func encodeHeartbeat(now time.Time, snapshot *Snapshot) []byte {
 	update := control.Update{
 		Kind:     control.UpdateHeartbeat,
 		Position: snapshot.current.Position(),
--- a/internal/coordination/rollout/error.go
+++ b/internal/coordination/rollout/error.go
@@ -13,7 +13,7 @@
 	KindDigest      Kind = "digest"      // the digest of the view is not that of the publisher
 	KindEnvironment Kind = "environment" // the view belongs to another environment
 	KindStale       Kind = "stale"       // the upstream has not been confirmed by a leader for too long
-	KindUpstream    Kind = "upstream"    // the stream ended
+	KindUpstream    Kind = "upstream"    // the upstream cannot be reached, or the stream ended
 )
 
 // Error is the error type of this package.
--- a/internal/coordination/rollout/follower.go
+++ b/internal/coordination/rollout/follower.go
@@ -11,27 +11,28 @@
 	"jayspindle/internal/state/view"
 )
 
-// Follower decides what a subscriber does with each update. It is not safe for
-// concurrent use.
+// Follower applies updates to the view that a subscriber holds. It is not safe
+// for concurrent use.
 type Follower struct {
 	environment string
 	current     *view.View
 	confirmedAt time.Time
-	// needsFull asks for a full view, because the one held proved wrong.
+	// needsFull makes the next subscription ask for a full view, because the view
+	// held differs from the publisher's or a delta could not be decoded.
 	needsFull bool
 	assembly  assembly
 }
 
 // assembly collects the chunks of one full view.
 type assembly struct {
-	position view.Position
-	digest   uint64
-	chunks   uint16
-	next     uint16
-	bytes    []byte
+	position   view.Position
+	digest     uint64
+	chunkCount uint16
+	nextChunk  uint16
+	buffer     []byte
 }
 
-// NewFollower returns a follower that holds a view already, or nil.
+// NewFollower returns a follower that starts with the view current, which may be nil.
 func NewFollower(environment string, current *view.View) *Follower {
 	return &Follower{environment: environment, current: current}
 }
@@ -47,7 +48,8 @@
 	return !f.confirmedAt.IsZero() && now.Sub(f.confirmedAt) <= ConfirmationLimit
 }
 
-// Watch starts a new subscription and returns its request.
+// Watch returns the request for a new subscription and drops the chunks of the
+// previous one.
 func (f *Follower) Watch() control.Watch {
 	f.assembly = assembly{}
 
@@ -60,27 +62,27 @@
 }
 
 // Handle applies an update and reports whether View has changed. After an
-// error the caller subscribes again.
+// error the caller must subscribe again.
 func (f *Follower) Handle(now time.Time, update control.Update) (bool, error) {
 	switch update.Kind {
 	case control.UpdateHeartbeat:
-		return false, f.heartbeat(now, update)
+		return false, f.handleHeartbeat(now, update)
 	case control.UpdateDelta:
-		return f.delta(update)
+		return f.handleDelta(update)
 	case control.UpdateFull:
-		return f.full(update)
+		return f.handleFullView(update)
 	default:
 		return false, newError("handle", KindEncoding, errors.Errorf("update has kind %d", update.Kind))
 	}
 }
 
-func (f *Follower) heartbeat(now time.Time, update control.Update) error {
+func (f *Follower) handleHeartbeat(now time.Time, update control.Update) error {
 	if f.current == nil || f.current.Position().Less(update.Position) {
 		return newError("check heartbeat", KindGap,
 			errors.Errorf("the publisher is at %s, the subscriber at %s", update.Position, f.position()))
 	}
 
-	// The upstream is stale; it says nothing about the view held.
+	// The upstream is behind, so its heartbeat does not confirm the view held.
 	if update.Position.Less(f.current.Position()) {
 		return nil
 	}
@@ -100,7 +102,7 @@
 	return nil
 }
 
-func (f *Follower) delta(update control.Update) (bool, error) {
+func (f *Follower) handleDelta(update control.Update) (bool, error) {
 	if f.current != nil && !f.current.Position().Less(update.Position) {
 		return false, nil
 	}
@@ -124,30 +126,31 @@
 	return f.replace(next, update)
 }
 
-func (f *Follower) full(update control.Update) (bool, error) {
-	if f.current != nil && !f.wants(update) {
+func (f *Follower) handleFullView(update control.Update) (bool, error) {
+	if f.current != nil && !f.needsView(update) {
 		return false, nil
 	}
 
 	if update.Chunk == 0 {
-		f.assembly = assembly{position: update.Position, digest: update.Digest, chunks: update.Chunks}
+		f.assembly = assembly{position: update.Position, digest: update.Digest, chunkCount: update.Chunks}
 	}
 
 	part := &f.assembly
 	if part.position != update.Position || part.digest != update.Digest ||
-		part.chunks != update.Chunks || part.next != update.Chunk {
+		part.chunkCount != update.Chunks || part.nextChunk != update.Chunk {
 		return false, newError("assemble view", KindGap,
-			errors.Errorf("chunk is %d at %s, expected is %d at %s", update.Chunk, update.Position, part.next, part.position))
+			errors.Errorf("chunk is %d at %s, expected is %d at %s",
+				update.Chunk, update.Position, part.nextChunk, part.position))
 	}
 
-	part.next++
-	part.bytes = append(part.bytes, update.Bytes...)
+	part.nextChunk++
+	part.buffer = append(part.buffer, update.Bytes...)
 
-	if part.next < part.chunks {
+	if part.nextChunk < part.chunkCount {
 		return false, nil
 	}
 
-	next, err := view.Decode(part.bytes)
+	next, err := view.Decode(part.buffer)
 	f.assembly = assembly{}
 
 	if err != nil {
@@ -157,8 +160,8 @@
 	return f.replace(next, update)
 }
 
-// wants reports whether a full view is newer than the one held or repairs it.
-func (f *Follower) wants(update control.Update) bool {
+// needsView reports whether a full view is newer than the one held or repairs it.
+func (f *Follower) needsView(update control.Update) bool {
 	if update.Position == f.current.Position() {
 		return update.Digest != f.current.Digest()
 	}
@@ -166,8 +169,8 @@
 	return f.current.Position().Less(update.Position)
 }
 
-// replace puts a view into force after a check against what the publisher
-// stated about it.
+// replace puts a view into force if its environment, position and digest are
+// those that the follower and the update state.
 func (f *Follower) replace(next *view.View, update control.Update) (bool, error) {
 	if next.Environment() != f.environment {
 		return false, newError("replace view", KindEnvironment,
--- a/internal/coordination/rollout/publisher.go
+++ b/internal/coordination/rollout/publisher.go
@@ -38,7 +38,7 @@
 
 // Apply publishes a view, or keeps it for a later Tick if the last
 // publication is less than CoalesceInterval ago. A view that is not newer is
-// ignored, except for a repair at the same position.
+// ignored, unless it has the same position and another digest.
 func (p *Publisher) Apply(now time.Time, next *view.View) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -56,7 +56,7 @@
 	p.publish(now)
 }
 
-// Tick publishes a view that Apply has kept, if it is due.
+// Tick publishes the view that Apply has kept, if CoalesceInterval has passed.
 func (p *Publisher) Tick(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -73,15 +73,16 @@
 		invariant.Assert(!p.pending.Position().Less(old.Position()), "rollout: the published position never falls")
 	}
 
-	p.snapshot = p.snapshot.next(p.pending)
+	p.snapshot = p.snapshot.withView(p.pending)
 	p.pending, p.publishedAt = nil, now
 
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Confirm states that a leader with a quorum held the newest view at the
-// given time. It does not wake subscribers: the next heartbeat carries it.
+// Confirm records that a leader with a quorum held the newest view at the
+// given time. It does not wake subscribers: the next heartbeat carries the
+// confirmation.
 func (p *Publisher) Confirm(at time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -120,15 +121,15 @@
 		}
 
 		if len(updates) == 0 {
-			idle(ctx, changed, cursor.Due())
+			waitForUpdate(ctx, changed, cursor.Due())
 		}
 	}
 
 	return nil
 }
 
-// idle waits for the next view or heartbeat.
-func idle(ctx context.Context, changed <-chan struct{}, due time.Time) {
+// waitForUpdate waits until a view is published or a heartbeat is due.
+func waitForUpdate(ctx context.Context, changed <-chan struct{}, due time.Time) {
 	wait := HeartbeatInterval
 	if !due.IsZero() {
 		wait = max(0, time.Until(due))
@@ -163,7 +164,7 @@
 			return link.Errorf(link.KindNotFound, "environment %q does not exist", watch.Environment)
 		}
 
-		// A subscriber of one environment must not see another one's keys.
+		// A view contains keys, which an instance of another environment must not see.
 		if err := (identity.Policy{Environment: watch.Environment}).Check(link.Peer(ctx)); err != nil {
 			return link.NewError(link.KindDenied, errors.Trace(err))
 		}
@@ -172,8 +173,8 @@
 	}
 }
 
-// supersedes reports whether next replaces current: it is newer, or it
-// repairs the same position.
+// supersedes reports whether next replaces current: it is newer, or it has the
+// same position and another digest.
 func supersedes(next, current *view.View) bool {
 	if next.Position() == current.Position() {
 		return next.Digest() != current.Digest()
--- a/internal/coordination/rollout/rollout_test.go
+++ b/internal/coordination/rollout/rollout_test.go
@@ -33,8 +33,8 @@
 	return view.New(contents)
 }
 
-// change returns the view with another weight of one agent.
-func change(current *view.View, index uint64) *view.View {
+// changeWeight returns a view at the index in which one agent has another weight.
+func changeWeight(current *view.View, index uint64) *view.View {
 	agents := append([]view.Agent(nil), current.Agents()...)
 	agents[index%uint64(len(agents))].Weight = uint8(index%100) + 1
 
@@ -43,56 +43,57 @@
 	})
 }
 
-// path is a simulated subscription: updates in flight from publisher to
-// follower, which can be lost, reordered, delayed or cut.
-type path struct {
-	publisher *rollout.Publisher
-	follower  *rollout.Follower
-	sink      rollout.Sink
-	cursor    *rollout.Cursor
-	flight    [][]byte
-	highest   view.Position
-	cutUntil  time.Time
+// subscription simulates a subscription over a network. Updates in flight from
+// the publisher to the follower can be lost, reordered, repeated or delayed, and
+// the connection can break.
+type subscription struct {
+	publisher         *rollout.Publisher
+	follower          *rollout.Follower
+	sink              rollout.Sink
+	cursor            *rollout.Cursor
+	inFlight          [][]byte
+	highestPosition   view.Position
+	disconnectedUntil time.Time
 }
 
-func (p *path) subscribe() {
-	p.cursor, p.flight = rollout.NewCursor(p.follower.Watch()), nil
+func (s *subscription) subscribe() {
+	s.cursor, s.inFlight = rollout.NewCursor(s.follower.Watch()), nil
 }
 
-// step moves updates into and out of the flight, with faults if random is not nil.
-func (p *path) step(t *testing.T, now time.Time, random *rand.Rand) {
+// step sends and delivers updates, with injected faults if random is not nil.
+func (s *subscription) step(t *testing.T, now time.Time, random *rand.Rand) {
 	t.Helper()
 
-	if now.Before(p.cutUntil) {
+	if now.Before(s.disconnectedUntil) {
 		return
 	}
 
-	if p.cursor == nil {
-		p.subscribe()
+	if s.cursor == nil {
+		s.subscribe()
 	}
 
-	snapshot, _ := p.publisher.Snapshot()
-	p.flight = append(p.flight, p.cursor.Next(now, snapshot)...)
+	snapshot, _ := s.publisher.Snapshot()
+	s.inFlight = append(s.inFlight, s.cursor.Next(now, snapshot)...)
 
 	if random != nil {
-		p.disturb(now, random)
+		s.injectFault(now, random)
 	}
 
-	for len(p.flight) > 0 && (random == nil || random.IntN(3) > 0) {
-		update, err := control.Decode[control.Update](p.flight[0])
+	for len(s.inFlight) > 0 && (random == nil || random.IntN(3) > 0) {
+		update, err := control.Decode[control.Update](s.inFlight[0])
 		is.New(t).NoErr(err)
 
-		p.flight = p.flight[1:]
-		p.handle(t, now, update)
+		s.inFlight = s.inFlight[1:]
+		s.handle(t, now, update)
 	}
 }
 
-func (p *path) handle(t *testing.T, now time.Time, update control.Update) {
+func (s *subscription) handle(t *testing.T, now time.Time, update control.Update) {
 	t.Helper()
 
-	changed, err := p.follower.Handle(now, update)
+	changed, err := s.follower.Handle(now, update)
 	if err != nil {
-		p.subscribe()
+		s.subscribe()
 
 		return
 	}
@@ -101,39 +102,40 @@
 		return
 	}
 
-	if p.follower.View().Position().Less(p.highest) {
-		t.Fatalf("position fell from %s to %s", p.highest, p.follower.View().Position())
+	if s.follower.View().Position().Less(s.highestPosition) {
+		t.Fatalf("position fell from %s to %s", s.highestPosition, s.follower.View().Position())
 	}
 
-	p.highest = p.follower.View().Position()
+	s.highestPosition = s.follower.View().Position()
 
-	if p.sink != nil {
-		p.sink.Apply(now, p.follower.View())
+	if s.sink != nil {
+		s.sink.Apply(now, s.follower.View())
 	}
 }
 
-func (p *path) disturb(now time.Time, random *rand.Rand) {
-	if len(p.flight) == 0 {
+func (s *subscription) injectFault(now time.Time, random *rand.Rand) {
+	if len(s.inFlight) == 0 {
 		return
 	}
 
-	i, j := random.IntN(len(p.flight)), random.IntN(len(p.flight))
+	i, j := random.IntN(len(s.inFlight)), random.IntN(len(s.inFlight))
 
 	switch random.IntN(12) {
 	case 0:
-		p.flight = append(p.flight[:i], p.flight[i+1:]...)
+		s.inFlight = append(s.inFlight[:i], s.inFlight[i+1:]...)
 	case 1:
-		p.flight[i], p.flight[j] = p.flight[j], p.flight[i]
+		s.inFlight[i], s.inFlight[j] = s.inFlight[j], s.inFlight[i]
 	case 2:
-		p.flight = append(p.flight, p.flight[i])
+		s.inFlight = append(s.inFlight, s.inFlight[i])
 	case 3:
-		p.subscribe()
-		p.cutUntil = now.Add(time.Duration(random.IntN(20)) * time.Second)
+		s.subscribe()
+		s.disconnectedUntil = now.Add(time.Duration(random.IntN(20)) * time.Second)
 	}
 }
 
-// Guards against subscribers that stay behind after a fault, or go back to an
-// older view, behind relays that lose, reorder, repeat and delay updates.
+// TestConverge guards against subscribers that stay behind after a fault or go
+// back to an older view, when relays and subscribers lose, reorder, repeat and
+// delay updates.
 func TestConverge(t *testing.T) {
 	soak.Run(t, 20, func(t *testing.T, seed uint64) {
 		random := rand.New(rand.NewPCG(seed, 0))
@@ -141,34 +143,36 @@
 		now := time.Unix(1_000_000, 0)
 
 		var (
-			paths  []*path
-			relays []*rollout.Publisher
+			subscribers []*subscription
+			relays      []*rollout.Publisher
 		)
 
 		for range 2 {
 			relay := rollout.New(environment)
 			relays = append(relays, relay)
-			paths = append(paths, &path{publisher: root, follower: rollout.NewFollower(environment, nil), sink: relay})
+			subscribers = append(subscribers, &subscription{
+				publisher: root, follower: rollout.NewFollower(environment, nil), sink: relay,
+			})
 		}
 
 		for range 4 {
-			paths = append(paths, &path{follower: rollout.NewFollower(environment, nil)})
+			subscribers = append(subscribers, &subscription{follower: rollout.NewFollower(environment, nil)})
 		}
 
 		index, newest := uint64(1), newView(1, 1+random.IntN(60))
 		root.Apply(now, newest)
 
-		run := func(steps int, faults *rand.Rand) {
+		simulate := func(steps int, faults *rand.Rand) {
 			for range steps {
 				now = now.Add(100 * time.Millisecond)
 				root.Tick(now)
 
-				for i, path := range paths {
-					if i >= len(relays) && (path.publisher == nil || faults != nil && faults.IntN(50) == 0) {
-						path.publisher, path.cursor = relays[random.IntN(len(relays))], nil
+				for i, subscriber := range subscribers {
+					if i >= len(relays) && (subscriber.publisher == nil || faults != nil && faults.IntN(50) == 0) {
+						subscriber.publisher, subscriber.cursor = relays[random.IntN(len(relays))], nil
 					}
 
-					path.step(t, now, faults)
+					subscriber.step(t, now, faults)
 				}
 
 				for _, relay := range relays {
@@ -177,26 +181,27 @@
 
 				if faults != nil && faults.IntN(3) == 0 {
 					index += 1 + faults.Uint64N(3)
-					newest = change(newest, index)
+					newest = changeWeight(newest, index)
 					root.Apply(now, newest)
 				}
 			}
 		}
 
-		run(300, random)
-		run(300, nil)
+		simulate(300, random)
+		simulate(300, nil)
 
-		for i, path := range paths {
-			if path.follower.View() == nil || path.follower.View().Digest() != newest.Digest() ||
-				path.follower.View().Position() != newest.Position() {
+		for i, subscriber := range subscribers {
+			if subscriber.follower.View() == nil || subscriber.follower.View().Digest() != newest.Digest() ||
+				subscriber.follower.View().Position() != newest.Position() {
 				t.Fatalf("subscriber %d did not converge", i)
 			}
 		}
 	})
 }
 
-// Guards against a publication per change during a burst, which would exceed
-// the control budget of a node, and against a burst that delays the last change.
+// TestCoalesce guards against one publication per change during a burst, which
+// would exceed the control traffic budget of a node, and against a burst that
+// delays the last change.
 func TestCoalesce(t *testing.T) {
 	is := is.New(t)
 	publisher := rollout.New(environment)
@@ -210,7 +215,7 @@
 
 	for index := uint64(2); index < 50; index++ {
 		now = now.Add(rollout.CoalesceInterval / 100)
-		newest = change(newest, index)
+		newest = changeWeight(newest, index)
 		publisher.Apply(now, newest)
 	}
 
@@ -225,8 +230,8 @@
 	is.Equal(cursor.FullViews(), uint64(1))
 }
 
-// Guards against a slow subscriber that makes the publisher queue without
-// bound: after more changes than the ring holds it gets one full view.
+// TestSlowSubscriber guards against unbounded memory for a slow subscriber: after
+// more changes than the ring holds it gets one full view.
 func TestSlowSubscriber(t *testing.T) {
 	is := is.New(t)
 	publisher := rollout.New(environment)
@@ -235,13 +240,13 @@
 	publisher.Apply(now, newest)
 
 	follower := rollout.NewFollower(environment, nil)
-	subscriber := &path{publisher: publisher, follower: follower}
+	subscriber := &subscription{publisher: publisher, follower: follower}
 	subscriber.step(t, now, nil)
 	is.Equal(follower.View().Digest(), newest.Digest())
 
 	for index := uint64(2); index < 400; index++ {
 		now = now.Add(rollout.CoalesceInterval)
-		newest = change(newest, index)
+		newest = changeWeight(newest, index)
 		publisher.Apply(now, newest)
 	}
 
@@ -251,8 +256,8 @@
 	is.Equal(subscriber.cursor.Deltas(), uint64(0))
 }
 
-// Guards against a view that differs from the publisher's without anybody
-// noticing, for example after a fault in an earlier release.
+// TestRepair guards against a view that has the publisher's position but other
+// contents, for example because of an error in an earlier release.
 func TestRepair(t *testing.T) {
 	is := is.New(t)
 	publisher := rollout.New(environment)
@@ -261,11 +266,12 @@
 	publisher.Confirm(now)
 
 	follower := rollout.NewFollower(environment, newView(5, 9))
-	subscriber := &path{publisher: publisher, follower: follower}
+	subscriber := &subscription{publisher: publisher, follower: follower}
 	subscriber.step(t, now, nil)
 	is.Equal(len(follower.View().Agents()), 10)
 
-	// A wrong view behind an upstream that does not check the request.
+	// The follower must detect a wrong view even if the upstream does not compare
+	// the digest in the request.
 	follower = rollout.NewFollower(environment, newView(5, 9))
 	snapshot, _ := publisher.Snapshot()
 	cursor := rollout.NewCursor(control.Watch{Position: newView(5, 10).Position(), Digest: newView(5, 10).Digest()})
@@ -274,11 +280,11 @@
 	_, err = follower.Handle(now, update)
 	is.True(err != nil)
 	is.Equal(follower.Watch().Position, view.Position{})
-	is.True(!follower.Confirmed(now)) // the confirmation is of another view
+	is.True(!follower.Confirmed(now)) // the confirmation applies to another view
 }
 
-// Guards against a stale relay that sends its whole view to every subscriber
-// that is ahead of it.
+// TestStaleRelay guards against a stale relay that sends a full view to every
+// subscriber that is ahead of it.
 func TestStaleRelay(t *testing.T) {
 	is := is.New(t)
 	publisher := rollout.New(environment)
@@ -286,14 +292,14 @@
 	publisher.Apply(now, newView(5, 10))
 
 	follower := rollout.NewFollower(environment, newView(6, 10))
-	subscriber := &path{publisher: publisher, follower: follower}
+	subscriber := &subscription{publisher: publisher, follower: follower}
 	subscriber.step(t, now, nil)
 	is.Equal(follower.View().Position().Index, uint64(6))
 	is.Equal(subscriber.cursor.FullViews(), uint64(0))
 }
 
-// Guards against a relay that passes off an old confirmation as a new one: the
-// age adds up over two relays.
+// TestConfirmationAges guards against a relay that reports an old confirmation
+// as a new one. The age must add up over two relays.
 func TestConfirmationAges(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -307,7 +313,7 @@
 		now = now.Add(2 * time.Second)
 		follower = rollout.NewFollower(environment, nil)
 		relay := rollout.New(environment)
-		subscriber := &path{publisher: upstream, follower: follower, sink: relay}
+		subscriber := &subscription{publisher: upstream, follower: follower, sink: relay}
 		subscriber.step(t, now, nil)
 		subscriber.step(t, now, nil)
 		is.Equal(follower.Confirmed(now), hop < 2)
--- a/internal/coordination/rollout/snapshot.go
+++ b/internal/coordination/rollout/snapshot.go
@@ -11,16 +11,16 @@
 	"jayspindle/internal/state/view"
 )
 
-// Snapshot is the immutable state of a publisher at one time.
+// Snapshot is the immutable state of a publisher at a point in time.
 type Snapshot struct {
 	current     *view.View
-	ring        []step // consecutive, the last one leads to current
-	full        func() [][]byte
+	ring        []encodedDelta // consecutive; the last one results in current
+	fullUpdates func() [][]byte
 	confirmedAt time.Time
 }
 
-// step is one delta of the ring, encoded once for all subscribers.
-type step struct {
+// encodedDelta is one delta of the ring, encoded once for all subscribers.
+type encodedDelta struct {
 	from       view.Position
 	fromDigest uint64
 	to         view.Position
@@ -39,56 +39,57 @@
 	return !s.confirmedAt.IsZero() && now.Sub(s.confirmedAt) <= ConfirmationLimit
 }
 
-// next returns the snapshot that follows when a view is published.
-func (s *Snapshot) next(published *view.View) *Snapshot {
-	following := &Snapshot{
+// withView returns the snapshot after the publication of a view.
+func (s *Snapshot) withView(published *view.View) *Snapshot {
+	next := &Snapshot{
 		current:     published,
-		full:        sync.OnceValue(func() [][]byte { return encodeFull(published) }),
+		fullUpdates: sync.OnceValue(func() [][]byte { return encodeFull(published) }),
 		confirmedAt: s.confirmedAt,
 	}
 
 	if s.current == nil {
-		return following
+		return next
 	}
 
-	// Without a delta, for example after a repair at the same position, the
-	// ring starts anew and subscribers get a full view.
+	// If there is no delta, for example because the view replaces another one at
+	// the same position, the ring becomes empty and subscribers get a full view.
 	if delta, ok := encodeDelta(s.current, published); ok {
-		kept := s.ring[max(0, len(s.ring)+1-ringSize):]
-		following.ring = append(append(make([]step, 0, len(kept)+1), kept...), delta)
+		kept := s.ring[max(0, len(s.ring)+1-maxRingDeltas):]
+		next.ring = append(append(make([]encodedDelta, 0, len(kept)+1), kept...), delta)
 	}
 
-	return following
+	return next
 }
 
-// since returns the steps from a position on, and false if the subscriber
+// deltasSince returns the deltas from a position on, and false if the subscriber
 // needs a full view.
-func (s *Snapshot) since(position view.Position, digest uint64) ([]step, bool) {
+func (s *Snapshot) deltasSince(position view.Position, digest uint64) ([]encodedDelta, bool) {
 	if position == s.current.Position() {
 		return nil, digest == s.current.Digest()
 	}
 
-	for i, step := range s.ring {
-		if step.from == position {
-			return s.ring[i:], digest == step.fromDigest
+	for i, candidate := range s.ring {
+		if candidate.from == position {
+			return s.ring[i:], digest == candidate.fromDigest
 		}
 	}
 
 	return nil, false
 }
 
-// encodeDelta returns false if the delta does not fit into one update.
-func encodeDelta(old, next *view.View) (step, bool) {
+// encodeDelta returns the delta from old to next. It returns false if next is not
+// newer or the delta does not fit into one update.
+func encodeDelta(old, next *view.View) (encodedDelta, bool) {
 	if !old.Position().Less(next.Position()) {
-		return step{}, false
+		return encodedDelta{}, false
 	}
 
 	delta := mustMarshal(next.Diff(old))
 	if len(delta) > control.MaxChunk {
-		return step{}, false
+		return encodedDelta{}, false
 	}
 
-	return step{
+	return encodedDelta{
 		from:       old.Position(),
 		fromDigest: old.Digest(),
 		to:         next.Position(),
@@ -103,8 +104,8 @@
 }
 
 // encodeFull returns the updates that carry the whole view.
-func encodeFull(whole *view.View) [][]byte {
-	encoded, err := whole.MarshalBinary()
+func encodeFull(published *view.View) [][]byte {
+	encoded, err := published.MarshalBinary()
 	if err != nil {
 		// A view consists of plain values only, so encoding cannot fail.
 		panic(err)
@@ -118,8 +119,8 @@
 	for i := range count {
 		updates = append(updates, mustMarshal(control.Update{
 			Kind:     control.UpdateFull,
-			Position: whole.Position(),
-			Digest:   whole.Digest(),
+			Position: published.Position(),
+			Digest:   published.Digest(),
 			Chunk:    uint16(i),
 			Chunks:   uint16(count),
 			Bytes:    encoded[i*control.MaxChunk : min((i+1)*control.MaxChunk, len(encoded))],
--- a/internal/coordination/rollout/subscribe.go
+++ b/internal/coordination/rollout/subscribe.go
@@ -13,67 +13,69 @@
 )
 
 const (
-	// minRetry and maxRetry bound the waits between failed subscriptions.
-	minRetry = 50 * time.Millisecond
-	maxRetry = 2 * time.Second
+	// minRetryDelay and maxRetryDelay limit the random delay before a subscription
+	// is retried: its upper bound doubles from the one to the other.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
-// Sink takes what a follower puts into force. Publisher is a Sink, which makes
-// a relay.
+// Sink receives the views that a follower puts into force, and their
+// confirmations. A relay uses a Publisher as its Sink.
 type Sink interface {
 	Apply(now time.Time, next *view.View)
 	Confirm(at time.Time)
 }
 
-// Upstream offers the views of a controller or of a relay.
+// Upstream is a controller or a relay from which views are received.
 type Upstream interface {
 	Watch(ctx context.Context, watch control.Watch) (Updates, error)
 }
 
-// Updates is one subscription at an upstream.
+// Updates is the stream of updates of one subscription.
 type Updates interface {
 	// Next waits for the next update. It returns false after the last one.
 	Next(update *control.Update) (bool, error)
 	Close()
 }
 
-// Subscribe follows the first upstream that works and passes views and
-// confirmations to the sink, until ctx ends. It leaves an upstream that fails,
-// is silent, or has not been confirmed by a leader for too long.
+// Subscribe subscribes to the first upstream that works and passes views and
+// confirmations to the sink, until ctx ends. It changes to the next upstream if
+// one fails, sends nothing for silenceTimeout, or has not been confirmed by a
+// leader for confirmationTimeout.
 func Subscribe(
 	ctx context.Context, upstreams []Upstream, follower *Follower, sink Sink, random *rand.Rand,
 ) error {
-	wait := minRetry
+	maxDelay := minRetryDelay
 
 	for i := 0; ctx.Err() == nil; {
 		started := time.Now()
-		err := follow(ctx, upstreams[i%len(upstreams)], follower, sink)
+		err := followUpstream(ctx, upstreams[i%len(upstreams)], follower, sink)
 
-		// A gap or a wrong digest is repaired by a new subscription at the same place.
-		var typed *Error
-		if !errors.As(err, &typed) || (typed.Kind() != KindGap && typed.Kind() != KindDigest) {
+		// A gap or a wrong digest is repaired by a new subscription to the same upstream.
+		var rolloutErr *Error
+		if !errors.As(err, &rolloutErr) || (rolloutErr.Kind() != KindGap && rolloutErr.Kind() != KindDigest) {
 			i++
 		}
 
-		if time.Since(started) > maxRetry {
-			wait = minRetry
+		if time.Since(started) > maxRetryDelay {
+			maxDelay = minRetryDelay
 		}
 
-		pause(ctx, time.Duration(random.Int64N(int64(wait))))
-		wait = min(2*wait, maxRetry)
+		sleep(ctx, time.Duration(random.Int64N(int64(maxDelay))))
+		maxDelay = min(2*maxDelay, maxRetryDelay)
 	}
 
 	return context.Cause(ctx)
 }
 
-// follow handles one subscription and returns why it ended.
-func follow(ctx context.Context, upstream Upstream, follower *Follower, sink Sink) error {
+// followUpstream runs one subscription until it ends and returns the reason.
+func followUpstream(ctx context.Context, upstream Upstream, follower *Follower, sink Sink) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	// The link notices a silent path; this timer notices a silent publisher.
-	silence := time.AfterFunc(silenceLimit, cancel)
-	defer silence.Stop()
+	// The link detects a broken connection, and this timer a publisher that sends nothing.
+	silenceTimer := time.AfterFunc(silenceTimeout, cancel)
+	defer silenceTimer.Stop()
 
 	updates, err := upstream.Watch(ctx, follower.Watch())
 	if err != nil {
@@ -95,20 +97,20 @@
 			return newError("follow", KindUpstream, errors.New("the stream ended"))
 		}
 
-		silence.Reset(silenceLimit)
+		silenceTimer.Reset(silenceTimeout)
 
-		if err := take(time.Now(), follower, update, sink); err != nil {
+		if err := applyUpdate(time.Now(), follower, update, sink); err != nil {
 			return err
 		}
 
-		if fresh := latest(started, follower.ConfirmedAt()); time.Since(fresh) > staleLimit {
-			return newError("follow", KindStale, errors.Errorf("no leader has confirmed a view for %s", staleLimit))
+		if lastConfirmed := latest(started, follower.ConfirmedAt()); time.Since(lastConfirmed) > confirmationTimeout {
+			return newError("follow", KindStale, errors.Errorf("no leader has confirmed a view for %s", confirmationTimeout))
 		}
 	}
 }
 
-// take passes one update to the follower and its result to the sink.
-func take(now time.Time, follower *Follower, update control.Update, sink Sink) error {
+// applyUpdate passes one update to the follower and its result to the sink.
+func applyUpdate(now time.Time, follower *Follower, update control.Update, sink Sink) error {
 	changed, err := follower.Handle(now, update)
 	if err != nil {
 		return err
@@ -133,8 +135,8 @@
 	return b
 }
 
-func pause(ctx context.Context, wait time.Duration) {
-	timer := time.NewTimer(wait)
+func sleep(ctx context.Context, delay time.Duration) {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 
 	select {
@@ -143,7 +145,7 @@
 	}
 }
 
-// FromClient returns the upstream at the other end of a link.
+// FromClient returns an Upstream for the server that the client is connected to.
 func FromClient(client *link.Client) Upstream { return linkUpstream{client: client} }
 
 type linkUpstream struct{ client *link.Client }
--- a/internal/coordination/rollout/subscribe_test.go
+++ b/internal/coordination/rollout/subscribe_test.go
@@ -17,24 +17,24 @@
 
 // upstream serves a publisher without a network.
 type upstream struct {
-	publisher *rollout.Publisher
-	watches   int
+	publisher     *rollout.Publisher
+	subscriptions int
 }
 
 func (u *upstream) Watch(ctx context.Context, watch control.Watch) (rollout.Updates, error) {
-	u.watches++
-	served := &updates{items: make(chan cbor.RawMessage), ctx: ctx}
+	u.subscriptions++
+	stream := &updates{items: make(chan cbor.RawMessage), ctx: ctx}
 
 	go u.publisher.Serve(ctx, watch, func(item cbor.RawMessage) error {
 		select {
-		case served.items <- item:
+		case stream.items <- item:
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	})
 
-	return served, nil
+	return stream, nil
 }
 
 type updates struct {
@@ -53,8 +53,8 @@
 
 func (u *updates) Close() {}
 
-// Guards against a subscriber that stays with an upstream that is silent or
-// that no leader has confirmed, while another one works.
+// TestLeaveUpstream guards against a subscriber that stays with an upstream that
+// sends nothing or that no leader has confirmed, while another one works.
 func TestLeaveUpstream(t *testing.T) {
 	for name, views := range map[string]int{"silent": 0, "unconfirmed": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -69,10 +69,10 @@
 
 				second.Apply(time.Now(), newView(2, 1))
 
-				sources := []*upstream{{publisher: first}, {publisher: second}}
+				upstreams := []*upstream{{publisher: first}, {publisher: second}}
 				follower := rollout.NewFollower(environment, nil)
 
-				go rollout.Subscribe(ctx, []rollout.Upstream{sources[0], sources[1]}, follower, sink,
+				go rollout.Subscribe(ctx, []rollout.Upstream{upstreams[0], upstreams[1]}, follower, sink,
 					rand.New(rand.NewPCG(1, 1)))
 
 				for range 30 {
@@ -84,7 +84,7 @@
 				snapshot, _ := sink.Snapshot()
 				is.Equal(snapshot.View().Position(), view.Position{Generation: 1, Index: 2})
 				is.True(snapshot.Confirmed(time.Now()))
-				is.Equal(sources[1].watches, 1) // it stays with the one that works
+				is.Equal(upstreams[1].subscriptions, 1) // it stays with the upstream that works
 
 				cancel()
 				synctest.Wait()
