--- a/internal/coordination/claim/claimant.go
+++ b/internal/coordination/claim/claimant.go
@@ -12,12 +12,12 @@
 const (
 	// ClaimTimeout is how long a claimant waits for holders.
 	ClaimTimeout = time.Second
-	// HandOverLimit is how long after Begin a request may be handed over to the
-	// backend server. A process that was paused for longer abandons the claim,
-	// because the holders drop its records a fixed time after the grant.
+	// HandOverLimit is how long after Begin a request may be handed over. A
+	// process that was paused for longer abandons the claim, because the holders
+	// drop its records a fixed time after the grant.
 	HandOverLimit = 5 * time.Second
-	// closeTimeout is how long a claimant resends its final request.
-	closeTimeout = 5 * time.Second
+	// finalRequestTimeout is how long a claimant resends its final request.
+	finalRequestTimeout = 5 * time.Second
 	// resendInterval is the time between two copies of a request. A holder gets
 	// up to ten copies within ClaimTimeout.
 	resendInterval = 100 * time.Millisecond
@@ -179,7 +179,7 @@
 		return false
 	case c.finalRequest == nil:
 		return c.decision.Verdict != Run
-	case now.Sub(c.decidedAt) >= closeTimeout:
+	case now.Sub(c.decidedAt) >= finalRequestTimeout:
 		return true
 	}
 
--- a/internal/coordination/claim/message.go
+++ b/internal/coordination/claim/message.go
@@ -186,7 +186,7 @@
 
 	for _, r := range transfer.Records {
 		if r.Status != Granted && r.Status != Completed && r.Status != Released {
-			return Transfer{}, newError("decode transfer", KindEncoding, errors.Errorf("status %d of a record", r.Status))
+			return Transfer{}, newError("decode transfer", KindEncoding, errors.Errorf("record has status %d", r.Status))
 		}
 
 		if r.Age < 0 {
--- a/internal/coordination/claim/store.go
+++ b/internal/coordination/claim/store.go
@@ -250,7 +250,7 @@
 	s.Expire(now)
 
 	if !s.seats[seat] {
-		return Transfer{}, newError("export", KindSeat, errors.Errorf("seat %d is not held here", seat))
+		return Transfer{}, newError("export", KindSeat, errors.Errorf("the store does not hold seat %d", seat))
 	}
 
 	transfer := Transfer{Seat: seat}
@@ -280,7 +280,7 @@
 func (s *Store) Restore(now time.Time, transfer Transfer) error {
 	successor, ok := s.successors[transfer.Seat]
 	if !ok {
-		return newError("restore", KindSeat, errors.Errorf("seat %d has not left", transfer.Seat))
+		return newError("restore", KindSeat, errors.Errorf("seat %d was not exported", transfer.Seat))
 	}
 
 	delete(s.successors, transfer.Seat)
@@ -302,7 +302,7 @@
 	s.Expire(now)
 
 	if _, left := s.successors[transfer.Seat]; left || s.seats[transfer.Seat] {
-		return newError("import", KindSeat, errors.Errorf("seat %d is or was held here", transfer.Seat))
+		return newError("import", KindSeat, errors.Errorf("the store holds or has exported seat %d", transfer.Seat))
 	}
 
 	if len(s.records)+len(transfer.Records) > s.capacity {
