--- a/internal/coordination/rollout/cursor.go
+++ b/internal/coordination/rollout/cursor.go
@@ -10,11 +10,11 @@
 // Cursor tracks what one subscriber has been sent and selects the next updates.
 // It is not safe for concurrent use.
 type Cursor struct {
-	position    view.Position
-	digest      uint64
-	heartbeatAt time.Time
-	deltas      uint64 // sent so far
-	fullViews   uint64 // sent so far
+	position      view.Position
+	digest        uint64
+	heartbeatAt   time.Time
+	deltasSent    uint64
+	fullViewsSent uint64
 }
 
 // NewCursor returns the cursor of a new subscription.
@@ -54,7 +54,7 @@
 	}
 
 	c.position, c.digest = current.Position(), current.Digest()
-	c.fullViews++
+	c.fullViewsSent++
 
 	return snapshot.fullUpdates()
 }
@@ -68,7 +68,7 @@
 		c.position, c.digest = delta.to, delta.toDigest
 	}
 
-	c.deltas += uint64(len(deltas))
+	c.deltasSent += uint64(len(deltas))
 
 	return updates
 }
@@ -77,10 +77,10 @@
 func (c *Cursor) Due() time.Time { return c.heartbeatAt }
 
 // Deltas returns the number of deltas sent so far.
-func (c *Cursor) Deltas() uint64 { return c.deltas }
+func (c *Cursor) Deltas() uint64 { return c.deltasSent }
 
 // FullViews returns the number of full views sent so far.
-func (c *Cursor) FullViews() uint64 { return c.fullViews }
+func (c *Cursor) FullViews() uint64 { return c.fullViewsSent }
 
 func encodeHeartbeat(now time.Time, snapshot *Snapshot) []byte {
 	update := control.Update{
--- a/internal/coordination/rollout/follower.go
+++ b/internal/coordination/rollout/follower.go
@@ -139,7 +139,7 @@
 	if part.position != update.Position || part.digest != update.Digest ||
 		part.chunkCount != update.Chunks || part.nextChunk != update.Chunk {
 		return false, newError("assemble view", KindGap,
-			errors.Errorf("chunk is %d at %s, expected is %d at %s",
+			errors.Errorf("got chunk %d at %s, expected chunk %d at %s",
 				update.Chunk, update.Position, part.nextChunk, part.position))
 	}
 
@@ -174,14 +174,14 @@
 func (f *Follower) replace(next *view.View, update control.Update) (bool, error) {
 	if next.Environment() != f.environment {
 		return false, newError("replace view", KindEnvironment,
-			errors.Errorf("the view is of %q instead of %q", next.Environment(), f.environment))
+			errors.Errorf("the view belongs to environment %q, expected %q", next.Environment(), f.environment))
 	}
 
 	if next.Position() != update.Position || next.Digest() != update.Digest {
 		f.needsFull = true
 
 		return false, newError("replace view", KindDigest,
-			errors.Errorf("view has %016x at %s, the publisher's has %016x at %s",
+			errors.Errorf("the view has digest %016x at %s, the publisher's has %016x at %s",
 				next.Digest(), next.Position(), update.Digest, update.Position))
 	}
 
