--- /dev/null
+++ b/internal/program/sidecar/checkpointer.go
@@ -0,0 +1,257 @@
+package sidecar
+
+import (
+	"cmp"
+	"context"
+	"log/slog"
+	"net/netip"
+	"slices"
+	"sync"
+	"time"
+
+	"jayspindle/internal/coordination/gate"
+	"jayspindle/internal/program/follower"
+	"jayspindle/internal/protocol/wire"
+	"jayspindle/internal/state/checkpoint"
+	"jayspindle/internal/state/flow"
+	"jayspindle/internal/transport/frag"
+)
+
+const (
+	// checkpointInterval bounds how old the last checkpoint is when the instance
+	// loses power. Flows opened since then are not recovered.
+	checkpointInterval = 500 * time.Millisecond
+
+	// checkpointCopies is one more than the number of disks that a deployment may
+	// lose at once.
+	checkpointCopies = 3
+
+	// recallInterval is how often a starting agent asks the controllers for its
+	// flows.
+	recallInterval = 50 * time.Millisecond
+
+	// recallTimeout is how long an agent keeps asking controllers that do not
+	// answer. Clients retransmit a packet within 1.6 s, and learn by then that
+	// their flow is lost.
+	recallTimeout = 3 * time.Second
+)
+
+// checkpointer stores the open flows of an agent at controllers, and recovers them
+// from there after a restart.
+type checkpointer struct {
+	agent    flow.Endpoint
+	conn     *frag.Conn
+	follower *follower.Follower
+	logger   *slog.Logger
+	// recoverFlows restores the flows of a checkpoint. It returns false before the
+	// backend server has reported.
+	recoverFlows func(memory checkpoint.Memory) (done bool)
+	durableFlows func() (born int64, flows map[flow.Key]uint32)
+
+	mutex           sync.Mutex
+	tracker         *checkpoint.Tracker
+	answered        map[flow.Endpoint]bool // controllers that answered the recall
+	pendingMemories []checkpoint.Memory    // wait for the first report of the backend server
+}
+
+func newCheckpointer(s *Sidecar) *checkpointer {
+	agent, _ := flow.NewEndpoint(s.settings.Data) // it was opened as IPv4
+
+	return &checkpointer{
+		agent: agent, conn: s.control, follower: s.follower, logger: s.logger,
+		recoverFlows: s.recoverFlows, durableFlows: s.durableFlows,
+		tracker:  checkpoint.NewTracker(agent, uint64(time.Now().UnixMilli())),
+		answered: make(map[flow.Endpoint]bool),
+	}
+}
+
+// run recalls the flows of an earlier start, then sends checkpoints until ctx ends.
+// A checkpoint sent during the recall would overwrite the flows to be recalled.
+func (c *checkpointer) run(ctx context.Context) {
+	c.repeat(ctx, recallInterval, time.Now().Add(recallTimeout), c.recallAll)
+	c.repeat(ctx, checkpointInterval, time.Time{}, c.sendCheckpoints)
+}
+
+// repeat calls a function at an interval until it returns true, the deadline passes
+// or ctx ends. A zero deadline never passes.
+func (*checkpointer) repeat(ctx context.Context, interval time.Duration, deadline time.Time, call func() bool) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+
+	for !call() && (deadline.IsZero() || time.Now().Before(deadline)) {
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// recallAll asks the controllers that have not answered for the flows of this
+// agent. It reports whether all have answered and all checkpoints were applied.
+func (c *checkpointer) recallAll() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+
+	c.pendingMemories = slices.DeleteFunc(c.pendingMemories, c.recoverFlows)
+
+	missing := 0
+
+	for _, controller := range c.follower.Controllers() {
+		if c.answered[controller] {
+			continue
+		}
+
+		missing++
+
+		c.send(controller, wire.KindRecall, wire.Recall{Agent: c.agent})
+	}
+
+	return missing == 0 && len(c.pendingMemories) == 0
+}
+
+func (c *checkpointer) send(to flow.Endpoint, kind wire.Kind, body any) {
+	message, err := wire.Encode(kind, body)
+	if err == nil {
+		err = c.conn.Send(to.AddrPort(), message)
+	}
+
+	if err != nil {
+		c.logger.Debug("could not send a message", "to", to.String(), "error", err)
+	}
+}
+
+// sendCheckpoints sends each holder the changes that it lacks. It always returns
+// false, so that repeat calls it until ctx ends.
+func (c *checkpointer) sendCheckpoints() bool {
+	born, flows := c.durableFlows()
+	if born == 0 {
+		return false
+	}
+
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+
+	// The first report of the backend server may arrive after the replies of all
+	// controllers.
+	c.pendingMemories = slices.DeleteFunc(c.pendingMemories, c.recoverFlows)
+
+	c.tracker.Observe(born, flows)
+
+	holders := c.selectHolders()
+
+	for _, controller := range holders {
+		batch, ok := c.tracker.Batch(controller)
+		if !ok {
+			continue
+		}
+
+		message := batch.Append([]byte{byte(wire.KindCheckpoint)})
+		if err := c.conn.Send(controller.AddrPort(), message); err != nil {
+			c.logger.Debug("could not send a checkpoint", "to", controller.String(), "error", err)
+		}
+	}
+
+	c.tracker.Forget(holders)
+
+	return false
+}
+
+// selectHolders returns the controllers that store the checkpoints of this agent.
+// Rendezvous hashing spreads the agents evenly over the controllers.
+func (c *checkpointer) selectHolders() []flow.Endpoint {
+	controllers := c.follower.Controllers()
+	weight := func(controller flow.Endpoint) uint64 { return flow.Key{Client: c.agent, Service: controller}.Hash() }
+
+	slices.SortFunc(controllers, func(a, b flow.Endpoint) int { return cmp.Compare(weight(a), weight(b)) })
+
+	return controllers[:min(checkpointCopies, len(controllers))]
+}
+
+// handleMessage handles a message of a controller. It returns false for messages
+// that are not for the checkpointer.
+func (c *checkpointer) handleMessage(from netip.AddrPort, kind wire.Kind, body []byte) bool {
+	controller, ok := flow.NewEndpoint(from)
+	if !ok {
+		return false
+	}
+
+	switch kind {
+	case wire.KindCheckpointed:
+		acknowledged, err := wire.Decode[checkpoint.Acknowledgement](body)
+		if err != nil {
+			c.logger.Warn("dropped a message", "from", from, "error", err)
+
+			break
+		}
+
+		c.mutex.Lock()
+		c.tracker.Acknowledge(controller, acknowledged)
+		c.mutex.Unlock()
+	case wire.KindRecalled:
+		c.handleRecalled(controller, body)
+	default:
+		return false
+	}
+
+	return true
+}
+
+// handleRecalled applies the checkpoint that a controller returned. Controllers
+// usually return the same checkpoint; one that was partitioned may return an older
+// one.
+func (c *checkpointer) handleRecalled(controller flow.Endpoint, body []byte) {
+	memory, err := checkpoint.Restore(body)
+	if err != nil {
+		c.logger.Warn("dropped a message", "from", controller.String(), "error", err)
+
+		return
+	}
+
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+
+	if c.answered[controller] {
+		return
+	}
+
+	c.answered[controller] = true
+
+	if len(memory.Flows) == 0 {
+		return
+	}
+
+	c.logger.Info("recalled the flows of an earlier start", "controller", controller.String(), "born", memory.Born,
+		"epoch", memory.Epoch, "flows", len(memory.Flows))
+
+	if !c.recoverFlows(memory) {
+		c.pendingMemories = append(c.pendingMemories, memory)
+	}
+}
+
+// durableFlows returns the flows to checkpoint, and the start time of the backend
+// server that they belong to.
+func (s *Sidecar) durableFlows() (born int64, flows map[flow.Key]uint32) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+
+	return s.gate.Lasting(time.Now())
+}
+
+// recoverFlows restores the flows of a checkpoint. The client of a lost flow gets
+// one reset, even if several controllers return the flow.
+func (s *Sidecar) recoverFlows(memory checkpoint.Memory) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+
+	orphans, done := s.gate.Recover(time.Now(), memory)
+	orphans = slices.DeleteFunc(orphans, func(orphan gate.Orphan) bool { return s.notified[orphan.Key] })
+
+	for _, orphan := range orphans {
+		s.notified[orphan.Key] = true
+	}
+
+	s.resetOrphans(orphans)
+
+	return done
+}
--- a/internal/program/sidecar/keeper_test.go
+++ b/internal/program/sidecar/checkpointer_test.go
@@ -20,8 +20,8 @@
 	"jayspindle/internal/transport/socket"
 )
 
-// patience bounds the waits for a message.
-const patience = 10 * time.Second
+// timeout bounds the wait for a message.
+const timeout = 10 * time.Second
 
 var (
 	agent      = netip.MustParseAddrPort("127.0.39.1:22000")
@@ -30,21 +30,21 @@
 	service    = flow.Endpoint{IP: [4]byte{198, 51, 100, 1}, Port: 443}
 )
 
-// resets writes resets that name the client's port, and reads nothing.
-type resets struct{}
+// fakeCodec encodes a reset as the text of its flow key, and decodes nothing.
+type fakeCodec struct{}
 
-func (resets) Decode([]byte) (flow.Header, error) { return flow.Header{}, nil }
+func (fakeCodec) Decode([]byte) (flow.Header, error) { return flow.Header{}, nil }
 
-func (resets) Restore([]byte) {}
+func (fakeCodec) Restore([]byte) {}
 
-func (resets) AppendReset(buffer []byte, key flow.Key, _ uint32) []byte {
+func (fakeCodec) AppendReset(buffer []byte, key flow.Key, _ uint32) []byte {
 	return append(buffer, key.String()...)
 }
 
-// memorizer is a controller that remembers a flow of the agent, and notes the
-// kinds of messages that it gets. It answers the first recalls late, as one does
-// that still reads its disk.
-type memorizer struct {
+// fakeController is a controller that holds a checkpoint of the agent, and records
+// the kinds of the messages that it receives. It ignores the first three recalls,
+// like a controller that is still reading its disk.
+type fakeController struct {
 	conn   *frag.Conn
 	memory checkpoint.Batch
 
@@ -52,36 +52,36 @@
 	kinds []wire.Kind
 }
 
-func (m *memorizer) handle(from netip.AddrPort, message []byte) {
+func (c *fakeController) handle(from netip.AddrPort, message []byte) {
 	kind, _, _ := wire.Split(message)
 
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 
-	m.kinds = append(m.kinds, kind)
+	c.kinds = append(c.kinds, kind)
 
 	recalls := 0
-	for _, earlier := range m.kinds {
+	for _, earlier := range c.kinds {
 		if earlier == wire.KindRecall {
 			recalls++
 		}
 	}
 
 	if kind == wire.KindRecall && recalls > 3 {
-		_ = m.conn.Send(from, m.memory.Append([]byte{byte(wire.KindRecalled)})) // asked again if it is lost
+		_ = c.conn.Send(from, c.memory.Append([]byte{byte(wire.KindRecalled)})) // the agent asks again if the reply is lost
 	}
 }
 
-func (m *memorizer) got(kind wire.Kind) int {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
+func (c *fakeController) indexOf(kind wire.Kind) int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 
-	return slices.Index(m.kinds, kind)
+	return slices.Index(c.kinds, kind)
 }
 
-// TestRecall guards against clients that are not told of flows that were lost
-// with the instance, and against a checkpoint that replaces the memory before it
-// was recalled.
+// TestRecall guards against clients that get no reset for flows that were lost
+// with the instance, and against a new checkpoint that overwrites the stored one
+// before it was recalled.
 func TestRecall(t *testing.T) {
 	is := is.New(t)
 	logger := slog.New(slog.DiscardHandler)
@@ -92,11 +92,11 @@
 	conn, err := frag.Listen(controller, logger)
 	is.NoErr(err)
 
-	m := &memorizer{conn: conn, memory: checkpoint.Batch{
+	fake := &fakeController{conn: conn, memory: checkpoint.Batch{
 		Agent: endpoint, Born: 1000, Epoch: 1, To: 3, Opened: []checkpoint.Flow{{Key: key, Acknowledged: 9}},
 	}}
 
-	go conn.Serve(m.handle)
+	go conn.Serve(fake.handle)
 
 	received := make(chan string, 16)
 	receiver, err := socket.Listen(netip.AddrPortFrom(client.Addr(), agent.Port()), logger)
@@ -109,7 +109,7 @@
 		Backend: netip.AddrPortFrom(agent.Addr(), 22003), Inner: netip.AddrPortFrom(agent.Addr(), controller.Port()),
 		ClientPort: agent.Port(), Seeds: func() []flow.Endpoint { return []flow.Endpoint{seed} },
 		ReportInterval: time.Second,
-	}, resets{}, logger)
+	}, fakeCodec{}, logger)
 	is.NoErr(err)
 
 	ctx, stop := context.WithCancel(context.Background())
@@ -123,21 +123,21 @@
 	select {
 	case reset := <-received:
 		is.Equal(reset, key.String())
-	case <-time.After(patience):
-		t.Fatal("the client was not told that its flow is lost")
+	case <-time.After(timeout):
+		t.Fatal("the client got no reset for its lost flow")
 	}
 
-	for deadline := time.Now().Add(patience); m.got(wire.KindCheckpoint) < 0; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(timeout); fake.indexOf(wire.KindCheckpoint) < 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no checkpoint was sent")
 		}
 	}
 
-	is.True(m.got(wire.KindRecall) < m.got(wire.KindCheckpoint))
+	is.True(fake.indexOf(wire.KindRecall) < fake.indexOf(wire.KindCheckpoint))
 
 	stop()
 	is.NoErr(<-ended)
 	is.NoErr(receiver.Close())
 	is.NoErr(conn.Close())
-	is.Equal(len(received), 0) // told once
+	is.Equal(len(received), 0) // only one reset for each flow
 }
--- a/internal/program/sidecar/metrics.go
+++ b/internal/program/sidecar/metrics.go
@@ -7,18 +7,18 @@
 	"jayspindle/internal/program/latency"
 )
 
-// Metrics is what an agent counts.
+// Metrics holds the counters and the state of an agent.
 type Metrics struct {
 	Decisions gate.Counters   `json:"decisions"`
 	Flows     int             `json:"flows"`   // open flows
-	Waiting   int             `json:"waiting"` // flows that wait for an answer
-	Failing   bool            `json:"failing"` // requests fail, so new flows go elsewhere
+	Waiting   int             `json:"waiting"` // flows that wait for a reply
+	Failing   bool            `json:"failing"` // requests fail, so new flows go to other agents
 	Version   uint64          `json:"version"` // of the document in force
-	Answers   latency.Summary `json:"answers"` // time to the first packet of an answer
+	Answers   latency.Summary `json:"answers"` // time to the first packet of a reply
 	Malformed uint64          `json:"malformed"`
 }
 
-// Metrics returns the counts since the start.
+// Metrics returns the current state, and the counts since the start.
 func (s *Sidecar) Metrics() Metrics {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -28,6 +28,6 @@
 	return Metrics{
 		Decisions: s.gate.Counters(), Flows: int(load.Flows), Waiting: int(load.Waiting),
 		Failing: load.Failing, Version: s.gate.Version(),
-		Answers: s.answers.Summary(), Malformed: s.malformed.Load() + s.inner.Dropped(),
+		Answers: s.answerTimes.Summary(), Malformed: s.malformed.Load() + s.control.Dropped(),
 	}
 }
--- a/internal/program/sidecar/sidecar.go
+++ b/internal/program/sidecar/sidecar.go
@@ -1,15 +1,17 @@
-// Package sidecar is the agent of a pass-through service: it stands between
-// entry instances and the backend server on its own instance. Package gate
-// decides; this package holds the sockets.
+// Package sidecar implements the agent of a pass-through service. The agent
+// relays packets between the entry instances and the backend server on its own
+// instance. Package gate makes the decisions; this package does the network
+// I/O.
 //
 // # Usage
 //
 //	process, err := sidecar.New(settings, codec, logger)
-//	outcome, err := process.Report(report) // what the backend server says of itself
+//	outcome, err := process.Report(report) // status report of the backend server
 //	err = process.Run(ctx)
 //
-// The agent stops at once when ctx ends: the backend server beside it has
-// ended, or the agent is restarted, and then every moment counts.
+// The agent stops without a delay when ctx ends: either its backend server has
+// ended, or the agent is being restarted and the service is down until it is
+// back.
 package sidecar
 
 import (
@@ -36,19 +38,20 @@
 )
 
 const (
-	// sweepInterval is a fraction of the time between two reports of a backend
-	// server.
+	// sweepInterval is shorter than the time between two reports of a backend
+	// server, so that missing reports are noticed in time.
 	sweepInterval = 250 * time.Millisecond
 
-	// longWait is the wait for a slot from which a request is logged: together
-	// with the work it makes a client miss the shortest aim in use, 120 ms.
-	longWait = 50 * time.Millisecond
+	// slowSlotWait is the wait for a slot from which a request is logged. Added to
+	// the service time, it makes a client miss the shortest latency target in use,
+	// 120 ms.
+	slowSlotWait = 50 * time.Millisecond
 )
 
 // Kind classifies an Error.
 type Kind string
 
-// KindListen is the kind of errors of sockets that cannot be opened.
+// KindListen means that a socket could not be opened.
 const KindListen Kind = "listen"
 
 // Error is the error type of this package.
@@ -65,38 +68,38 @@
 	Data       netip.AddrPort // receives packets from entry instances
 	Outbound   netip.AddrPort // receives packets from the backend server
 	Backend    netip.AddrPort // the backend server
-	Inner      netip.AddrPort // messages of the other processes
+	Inner      netip.AddrPort // receives control messages from other processes
 	ClientPort uint16         // UDP port at which clients receive packets
 	Seeds      func() []flow.Endpoint
 	// ReportInterval is the time between two reports of the backend server.
 	ReportInterval time.Duration
 }
 
-// Sidecar is one agent.
+// Sidecar relays the packets of one backend server.
 type Sidecar struct {
-	settings Settings
-	codec    flow.Codec
-	logger   *slog.Logger
-	data     *socket.Socket
-	outbound *socket.Socket
-	inner    *frag.Conn
-	follower *follower.Follower
-	keeper   *keeper
-	answers  *latency.Histogram // time to the first packet of an answer
-
-	malformed atomic.Uint64 // datagrams that are no packets
+	settings     Settings
+	codec        flow.Codec
+	logger       *slog.Logger
+	data         *socket.Socket
+	outbound     *socket.Socket
+	control      *frag.Conn
+	follower     *follower.Follower
+	checkpointer *checkpointer
+	answerTimes  *latency.Histogram // time to the first packet of an answer
+
+	malformed atomic.Uint64 // datagrams that could not be decoded
 
 	mutex    sync.Mutex // guards everything below
 	gate     *gate.Gate
-	told     map[flow.Key]bool // clients that learned that a flow of an earlier start is lost
+	notified map[flow.Key]bool // lost flows recalled from controllers whose clients got a reset
 	stopping bool
 	buffer   []byte
 }
 
-// New opens the sockets.
+// New returns an agent with open sockets.
 func New(settings Settings, codec flow.Codec, logger *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{
-		settings: settings, codec: codec, logger: logger, answers: latency.New(), told: make(map[flow.Key]bool),
+		settings: settings, codec: codec, logger: logger, answerTimes: latency.New(), notified: make(map[flow.Key]bool),
 	}
 	if err := s.listen(); err != nil {
 		return nil, errors.Join(newError("listen", KindListen, err), s.close())
@@ -104,24 +107,25 @@
 
 	s.gate = gate.New(gate.Config{
 		Service: settings.Service, Boot: time.Now(), ReportInterval: settings.ReportInterval,
-	}, s.answers.Observe)
+	}, s.answerTimes.Observe)
 	s.follower = follower.New(follower.Config{
-		Conn: s.inner, Boot: rand.Uint64(), Seeds: settings.Seeds, Events: events{s}, Announce: s.announce, Logger: logger,
+		Conn: s.control, Boot: rand.Uint64(), Seeds: settings.Seeds, Events: events{s}, Announce: s.announce, Logger: logger,
 	})
-	s.keeper = newKeeper(s)
+	s.checkpointer = newCheckpointer(s)
 
 	return s, nil
 }
 
-// announce describes the agent to controllers.
+// announce returns the record of the agent that controllers get.
 func (s *Sidecar) announce(now time.Time) roster.Record {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	record := s.gate.Record(now)
 
-	// Without its backend server the agent is not coming back: nobody has to
-	// wait for its answers. Otherwise it is only restarted.
+	// An agent that stops without a running backend server does not come back, so
+	// entry instances need not wait for its replies. With one it is only being
+	// restarted.
 	if s.stopping && (record.State == roster.Ended || record.State == roster.Starting) {
 		record.State = roster.Gone
 	}
@@ -132,14 +136,14 @@
 	return record
 }
 
-// Report applies what the backend server says of itself. When it returns, a
+// Report applies a status report of the backend server. Once it returns, a
 // backend server that is leaving gets no new flows.
 func (s *Sidecar) Report(report gate.Report) (gate.Outcome, error) {
 	s.mutex.Lock()
 	outcome, err := s.gate.Report(time.Now(), report)
 
 	if outcome == gate.Changed {
-		s.reset(s.gate.Orphans())
+		s.resetOrphans(s.gate.Orphans())
 	}
 	s.mutex.Unlock()
 
@@ -157,68 +161,69 @@
 	return outcome, err
 }
 
-// Leave notes that the backend server has ended its work.
+// Leave records that the backend server has ended its work.
 func (s *Sidecar) Leave(id string, born int64) {
 	s.mutex.Lock()
 	outcome := s.gate.Leave(id, born)
 	s.mutex.Unlock()
 
-	s.logger.Info("the backend server says that it ends", "id", id, "born", born, "late", outcome == gate.Late)
+	s.logger.Info("the backend server announced its end", "id", id, "born", born, "late", outcome == gate.Late)
 
 	if outcome == gate.Changed {
 		s.follower.Poll()
 	}
 }
 
-// reset tells clients that the backend server of their flow has ended. The
+// resetOrphans sends a reset to the clients whose backend server has ended. The
 // caller holds the mutex.
-func (s *Sidecar) reset(orphans []gate.Orphan) {
+func (s *Sidecar) resetOrphans(orphans []gate.Orphan) {
 	if len(orphans) == 0 {
 		return
 	}
 
 	for _, orphan := range orphans {
 		s.buffer = s.codec.AppendReset(s.buffer[:0], orphan.Key, orphan.Sequence)
-		if err := s.toClient(orphan.Key, s.buffer); err != nil {
-			s.logger.Debug("a reset did not leave", "flow", orphan.Key.String(), "error", err)
+		if err := s.sendToClient(orphan.Key, s.buffer); err != nil {
+			s.logger.Debug("could not send a reset", "flow", orphan.Key.String(), "error", err)
 		}
 	}
 
 	s.logger.Info("reset the flows of a backend server that has ended", "flows", len(orphans))
 }
 
-// Run passes packets until ctx ends.
+// Run relays packets until ctx ends.
 func (s *Sidecar) Run(ctx context.Context) error {
-	running, stop := context.WithCancelCause(ctx)
-	parts := group.New(stop)
+	runCtx, stop := context.WithCancelCause(ctx)
+	tasks := group.New(stop)
 
-	parts.Go(func() { s.data.Serve(s.packets(s.fromForwarder)) })
-	parts.Go(func() { s.outbound.Serve(s.packets(s.fromBackend)) })
-	parts.Go(func() { s.inner.Serve(s.handle) })
-	parts.Go(func() { s.follower.Run(running) })
-	parts.Go(func() { s.sweep(running) })
-	parts.Go(func() { s.keeper.run(running) })
+	tasks.Go(func() { s.data.Serve(s.packetHandler(s.handleFromForwarder)) })
+	tasks.Go(func() { s.outbound.Serve(s.packetHandler(s.handleFromBackend)) })
+	tasks.Go(func() { s.control.Serve(s.handleMessage) })
+	tasks.Go(func() { s.follower.Run(runCtx) })
+	tasks.Go(func() { s.sweep(runCtx) })
+	tasks.Go(func() { s.checkpointer.run(runCtx) })
 
-	<-running.Done()
+	<-runCtx.Done()
 
 	s.mutex.Lock()
 	s.stopping = true
 	s.mutex.Unlock()
 	s.follower.Farewell()
 
-	closing := s.close()
+	closeErr := s.close()
 
-	parts.Wait()
+	tasks.Wait()
 
-	if cause := context.Cause(running); !errors.Is(cause, context.Canceled) {
+	if cause := context.Cause(runCtx); !errors.Is(cause, context.Canceled) {
 		return cause
 	}
 
-	return closing
+	return closeErr
 }
 
-// packets returns a handler of datagrams that passes on the packets among them.
-func (s *Sidecar) packets(
+// packetHandler returns a datagram handler that decodes packets, calls handle with
+// the mutex held, and counts the datagrams that cannot be decoded.
+func (s *Sidecar) packetHandler(
 	handle func(from netip.AddrPort, header flow.Header, packet []byte),
 ) func(from netip.AddrPort, datagram []byte) {
 	return func(from netip.AddrPort, datagram []byte) {
@@ -237,19 +242,20 @@
 	}
 }
 
-// fromForwarder handles a packet of a client.
-func (s *Sidecar) fromForwarder(from netip.AddrPort, header flow.Header, packet []byte) {
+// handleFromForwarder handles a packet of a client.
+func (s *Sidecar) handleFromForwarder(from netip.AddrPort, header flow.Header, packet []byte) {
 	forwarder, ok := flow.NewEndpoint(from)
 	if !ok {
 		return
 	}
 
-	s.do(header.Key(), header, s.gate.FromClient(time.Now(), forwarder, header, packet), packet)
-	s.start()
+	s.execute(header.Key(), header, s.gate.FromClient(time.Now(), forwarder, header, packet), packet)
+	s.startRequests()
 }
 
-// fromBackend handles a packet of the backend server, or one that it returned.
-func (s *Sidecar) fromBackend(_ netip.AddrPort, header flow.Header, packet []byte) {
+// handleFromBackend handles a packet that the backend server sent, or a client's
+// packet that it returned.
+func (s *Sidecar) handleFromBackend(_ netip.AddrPort, header flow.Header, packet []byte) {
 	key := header.ReplyKey()
 
 	if header.Returned {
@@ -258,37 +264,38 @@
 		s.codec.Restore(packet)
 	}
 
-	s.do(key, header, s.gate.FromBackend(time.Now(), header), packet)
-	s.start()
+	s.execute(key, header, s.gate.FromBackend(time.Now(), header), packet)
+	s.startRequests()
 }
 
-// do carries out a decision. The caller holds the mutex.
-func (s *Sidecar) do(key flow.Key, header flow.Header, decision gate.Decision, packet []byte) {
+// execute carries out a decision of the gate. The caller holds the mutex.
+func (s *Sidecar) execute(key flow.Key, header flow.Header, decision gate.Decision, packet []byte) {
 	var err error
 
 	switch decision.Kind {
 	case gate.Deliver:
 		err = s.outbound.Send(packet, s.settings.Backend)
 	case gate.ToClient:
-		err = s.toClient(key, packet)
+		err = s.sendToClient(key, packet)
 	case gate.Return:
-		err = s.notify(decision.Forwarder, wire.Returned{Load: s.gate.Load(time.Now()), Packet: packet}.Append(s.buffer[:0]))
+		err = s.sendToForwarder(decision.Forwarder,
+			wire.Returned{Load: s.gate.Load(time.Now()), Packet: packet}.Append(s.buffer[:0]))
 	case gate.Reset:
-		err = s.toClient(key, s.codec.AppendReset(s.buffer[:0], key, header.Acknowledged))
+		err = s.sendToClient(key, s.codec.AppendReset(s.buffer[:0], key, header.Acknowledged))
 	case gate.Drop, gate.Hold:
 	}
 
 	switch {
 	case decision.Accepted:
-		err = errors.Join(err, s.notify(decision.Forwarder,
+		err = errors.Join(err, s.sendToForwarder(decision.Forwarder,
 			wire.Accepted{Key: key, Load: s.gate.Load(time.Now())}.Append(s.buffer[:0])))
 	case decision.Found:
-		err = errors.Join(err, s.notify(decision.Forwarder,
+		err = errors.Join(err, s.sendToForwarder(decision.Forwarder,
 			wire.Found{Key: key}.Append(s.buffer[:0])))
 	}
 
 	if err != nil {
-		s.logger.Debug("a packet did not leave", "flow", key.String(), "error", err)
+		s.logger.Debug("could not send a packet", "flow", key.String(), "error", err)
 	}
 
 	if decision.Reason != gate.ReasonNone {
@@ -297,37 +304,38 @@
 	}
 }
 
-// start hands over the requests that get a slot. The caller holds the mutex.
-func (s *Sidecar) start() {
+// startRequests sends the waiting requests that get a slot to the backend server.
+// The caller holds the mutex.
+func (s *Sidecar) startRequests() {
 	for _, started := range s.gate.Start(time.Now()) {
-		if started.Waited >= longWait {
+		if started.Waited >= slowSlotWait {
 			s.logger.Info("a request waited for a slot", "flow", started.Key.String(),
 				"waited_ms", started.Waited.Milliseconds(), "waiting", s.gate.Load(time.Now()).Waiting)
 		}
 
 		for _, packet := range started.Packets {
 			if err := s.outbound.Send(packet, s.settings.Backend); err != nil {
-				s.logger.Debug("a packet did not leave", "flow", started.Key.String(), "error", err)
+				s.logger.Debug("could not send a packet", "flow", started.Key.String(), "error", err)
 			}
 		}
 	}
 }
 
-func (s *Sidecar) toClient(key flow.Key, packet []byte) error {
+func (s *Sidecar) sendToClient(key flow.Key, packet []byte) error {
 	return s.data.Send(packet, netip.AddrPortFrom(key.Client.Addr(), s.settings.ClientPort))
 }
 
-// notify sends a message to an entry instance.
-func (s *Sidecar) notify(forwarder flow.Endpoint, message []byte) error {
+// sendToForwarder sends a control message to an entry instance.
+func (s *Sidecar) sendToForwarder(forwarder flow.Endpoint, message []byte) error {
 	s.buffer = message
 
-	return s.inner.Send(netip.AddrPortFrom(forwarder.Addr(), s.settings.Inner.Port()), message)
+	return s.control.Send(netip.AddrPortFrom(forwarder.Addr(), s.settings.Inner.Port()), message)
 }
 
-// handle handles a message from another process.
-func (s *Sidecar) handle(from netip.AddrPort, message []byte) {
+// handleMessage handles a control message from another process.
+func (s *Sidecar) handleMessage(from netip.AddrPort, message []byte) {
 	kind, body, ok := wire.Split(message)
-	if !ok || s.follower.Handle(from, kind, body) || s.keeper.handle(from, kind, body) {
+	if !ok || s.follower.Handle(from, kind, body) || s.checkpointer.handleMessage(from, kind, body) {
 		return
 	}
 
@@ -337,33 +345,35 @@
 		return
 	}
 
-	asked, err := wire.ParseLocate(body)
+	locate, err := wire.ParseLocate(body)
 	if err != nil {
 		s.logger.Warn("dropped a message", "from", from, "error", err)
 
 		return
 	}
 
-	located := wire.Located{ID: asked.ID}
+	located := wire.Located{ID: locate.ID}
 	now := time.Now()
 
 	s.mutex.Lock()
-	for _, key := range asked.Keys {
+	for _, key := range locate.Keys {
 		located.Answers = append(located.Answers, s.gate.Locate(now, key))
 	}
 	s.mutex.Unlock()
 
-	if err := s.inner.Send(from, located.Append(nil)); err != nil {
-		s.logger.Debug("an answer did not leave", "to", from, "error", err)
+	if err := s.control.Send(from, located.Append(nil)); err != nil {
+		s.logger.Debug("could not send a reply", "to", from, "error", err)
 	}
 }
 
-// sweep drives what depends on time.
+// sweep periodically expires the state of the gate and starts waiting requests. It
+// polls the controllers when the backend server stops reporting, or when its
+// requests begin or cease to fail.
 func (s *Sidecar) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 
-	failed := false
+	wasFailing := false
 
 	for {
 		select {
@@ -374,7 +384,7 @@
 
 		s.mutex.Lock()
 		changed := s.gate.Sweep(time.Now())
-		s.start()
+		s.startRequests()
 		failing := s.gate.Load(time.Now()).Failing
 		s.mutex.Unlock()
 
@@ -382,19 +392,19 @@
 			s.logger.Warn("the backend server no longer reports")
 		}
 
-		if failing != failed {
+		if failing != wasFailing {
 			s.logger.Warn("the outcome of requests changed", "failing", failing)
 		}
 
-		if changed || failing != failed {
+		if changed || failing != wasFailing {
 			s.follower.Poll()
 		}
 
-		failed = failing
+		wasFailing = failing
 	}
 }
 
-// events passes what the follower learns to the gate.
+// events passes documents from the follower to the gate.
 type events struct{ *Sidecar }
 
 func (e events) Document(_ time.Time, table *route.Table) {
--- a/internal/program/sidecar/sockets.go
+++ b/internal/program/sidecar/sockets.go
@@ -17,7 +17,7 @@
 		return err
 	}
 
-	s.inner, err = frag.Listen(s.settings.Inner, s.logger)
+	s.control, err = frag.Listen(s.settings.Inner, s.logger)
 
 	return err
 }
@@ -32,8 +32,8 @@
 		err = errors.Join(err, s.outbound.Close())
 	}
 
-	if s.inner != nil {
-		err = errors.Join(err, s.inner.Close())
+	if s.control != nil {
+		err = errors.Join(err, s.control.Close())
 	}
 
 	return err
