--- a/internal/program/forwarder/forwarder.go
+++ b/internal/program/forwarder/forwarder.go
@@ -1,6 +1,6 @@
-// Package forwarder is the entry instance of pass-through services: it forwards
-// the packets of clients to agents. Package steering decides; this package
-// holds the sockets.
+// Package forwarder implements the entry instance of pass-through services. It
+// forwards the packets of clients to agents. Package steering makes the
+// decisions; this package does the network I/O.
 //
 // # Usage
 //
@@ -35,14 +35,14 @@
 )
 
 const (
-	// idleTick bounds the wait for the next decision that depends on time.
-	idleTick = time.Second
+	// maxTickInterval bounds the time between two ticks of the router.
+	maxTickInterval = time.Second
 )
 
 // Kind classifies an Error.
 type Kind string
 
-// KindListen is the kind of errors of sockets that cannot be opened.
+// KindListen means that a socket could not be opened.
 const KindListen Kind = "listen"
 
 // Error is the error type of this package.
@@ -56,58 +56,57 @@
 type Settings struct {
 	Zone       string
 	Data       netip.AddrPort // receives the packets of clients
-	Inner      netip.AddrPort // messages of the other processes
+	Inner      netip.AddrPort // receives control messages from other processes
 	ClientPort uint16         // UDP port at which clients receive packets
 	Seeds      func() []flow.Endpoint
 	// Linger is how long the instance forwards after it reports that it is not
 	// ready: the fabric needs several health checks to take it out of rotation.
 	Linger time.Duration
-	// Link is the bandwidth of the instance in bytes a second; 0 if it is not
-	// known.
+	// Link is the bandwidth of the instance in bytes per second; 0 if unknown.
 	Link float64
 }
 
-// Forwarder is one entry instance.
+// Forwarder forwards the packets that arrive at one entry instance.
 type Forwarder struct {
-	settings Settings
-	codec    flow.Codec
-	logger   *slog.Logger
-	data     *socket.Socket
-	inner    *frag.Conn
-	follower *follower.Follower
-	opened   *latency.Histogram // time until a new flow was accepted
-	stopping atomic.Bool
-
-	malformed atomic.Uint64 // datagrams that are no packets
-	wake      chan struct{}
+	settings  Settings
+	codec     flow.Codec
+	logger    *slog.Logger
+	data      *socket.Socket
+	control   *frag.Conn
+	follower  *follower.Follower
+	openTimes *latency.Histogram // time until a new flow was accepted
+	stopping  atomic.Bool
+
+	malformed atomic.Uint64 // datagrams that could not be decoded
+	wake      chan struct{} // signals that the router may have an earlier due time
 
 	mutex  sync.Mutex // guards everything below
 	router *steering.Router
 	buffer []byte
 }
 
-// New opens the sockets.
+// New returns an entry instance with open sockets.
 func New(settings Settings, codec flow.Codec, logger *slog.Logger) (*Forwarder, error) {
 	data, err := socket.Listen(settings.Data, logger)
 	if err != nil {
 		return nil, newError("listen", KindListen, err)
 	}
 
-	inner, err := frag.Listen(settings.Inner, logger)
+	control, err := frag.Listen(settings.Inner, logger)
 	if err != nil {
 		return nil, errors.Join(newError("listen", KindListen, err), data.Close())
 	}
 
-	opened := latency.New()
+	openTimes := latency.New()
 	f := &Forwarder{
-		settings: settings, codec: codec, logger: logger, data: data, inner: inner, opened: opened,
+		settings: settings, codec: codec, logger: logger, data: data, control: control, openTimes: openTimes,
 		wake: make(chan struct{}, 1),
 		router: steering.New(steering.Config{
-			Zone: settings.Zone, Boot: time.Now(), Link: settings.Link, Opened: opened.Observe,
+			Zone: settings.Zone, Boot: time.Now(), Link: settings.Link, Opened: openTimes.Observe,
 		}),
 	}
 	f.follower = follower.New(follower.Config{
-		Conn: inner, Boot: rand.Uint64(), Seeds: settings.Seeds, Events: events{f}, Follows: true, Logger: logger,
+		Conn: control, Boot: rand.Uint64(), Seeds: settings.Seeds, Events: events{f}, Follows: true, Logger: logger,
 	})
 
 	return f, nil
@@ -125,35 +124,35 @@
 	return f.router.Serving()
 }
 
-// Metrics is what an entry instance counts.
+// Metrics holds the counters and the state of an entry instance.
 type Metrics struct {
 	Decisions steering.Counters `json:"decisions"`
-	Flows     int               `json:"flows"`   // whose place is known
+	Flows     int               `json:"flows"`   // flows whose agent is known
 	Version   uint64            `json:"version"` // of the document in force
 	Opened    latency.Summary   `json:"opened"`  // time until a new flow was accepted
 	Malformed uint64            `json:"malformed"`
 }
 
-// Metrics returns the counts since the start.
+// Metrics returns the current state, and the counts since the start.
 func (f *Forwarder) Metrics() Metrics {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 
 	return Metrics{
 		Decisions: f.router.Counters(), Flows: f.router.Flows(), Version: f.router.Version(),
-		Opened: f.opened.Summary(), Malformed: f.malformed.Load() + f.inner.Dropped(),
+		Opened: f.openTimes.Summary(), Malformed: f.malformed.Load() + f.control.Dropped(),
 	}
 }
 
 // Run forwards packets until ctx ends and the linger time has passed.
 func (f *Forwarder) Run(ctx context.Context) error {
-	running, stop := context.WithCancelCause(context.WithoutCancel(ctx))
-	parts := group.New(stop)
+	runCtx, stop := context.WithCancelCause(context.WithoutCancel(ctx))
+	tasks := group.New(stop)
 
-	parts.Go(func() { f.data.Serve(f.packet) })
-	parts.Go(func() { f.inner.Serve(f.handle) })
-	parts.Go(func() { f.follower.Run(running) })
-	parts.Go(func() { f.tick(running) })
+	tasks.Go(func() { f.data.Serve(f.handlePacket) })
+	tasks.Go(func() { f.control.Serve(f.handleMessage) })
+	tasks.Go(func() { f.follower.Run(runCtx) })
+	tasks.Go(func() { f.runTicks(runCtx) })
 
 	select {
 	case <-ctx.Done():
@@ -162,26 +161,26 @@
 
 		select {
 		case <-time.After(f.settings.Linger):
-		case <-running.Done():
+		case <-runCtx.Done():
 		}
-	case <-running.Done():
+	case <-runCtx.Done():
 	}
 
 	stop(nil)
 
-	closing := errors.Join(f.data.Close(), f.inner.Close())
+	closeErr := errors.Join(f.data.Close(), f.control.Close())
 
-	parts.Wait()
+	tasks.Wait()
 
-	if cause := context.Cause(running); !errors.Is(cause, context.Canceled) {
+	if cause := context.Cause(runCtx); !errors.Is(cause, context.Canceled) {
 		return cause
 	}
 
-	return closing
+	return closeErr
 }
 
-// packet handles a packet of a client.
-func (f *Forwarder) packet(_ netip.AddrPort, packet []byte) {
+// handlePacket handles a packet of a client.
+func (f *Forwarder) handlePacket(_ netip.AddrPort, packet []byte) {
 	header, err := f.codec.Decode(packet)
 	if err != nil {
 		f.malformed.Add(1)
@@ -193,29 +192,29 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 
-	f.do(f.router.Packet(time.Now(), header, packet))
+	f.execute(f.router.Packet(time.Now(), header, packet))
 }
 
-// handle handles a message from another process.
-func (f *Forwarder) handle(from netip.AddrPort, message []byte) {
+// handleMessage handles a control message from another process.
+func (f *Forwarder) handleMessage(from netip.AddrPort, message []byte) {
 	kind, body, ok := wire.Split(message)
 	if !ok || f.follower.Handle(from, kind, body) {
 		return
 	}
 
-	// Agents are known by the address that receives packets, on the same port
-	// everywhere.
+	// An agent is identified by the address at which it receives packets. All
+	// processes use the same data port.
 	sender, ok := flow.NewEndpoint(netip.AddrPortFrom(from.Addr(), f.settings.Data.Port()))
 	if !ok {
 		return
 	}
 
-	if err := f.fromAgent(sender, kind, body); err != nil {
+	if err := f.handleFromAgent(sender, kind, body); err != nil {
 		f.logger.Warn("dropped a message", "from", from, "kind", kind, "error", err)
 	}
 }
 
-func (f *Forwarder) fromAgent(sender flow.Endpoint, kind wire.Kind, body []byte) error {
+func (f *Forwarder) handleFromAgent(sender flow.Endpoint, kind wire.Kind, body []byte) error {
 	now := time.Now()
 
 	f.mutex.Lock()
@@ -228,21 +227,21 @@
 			return err
 		}
 
-		f.do(f.router.Accepted(now, sender, accepted.Key, accepted.Load))
+		f.execute(f.router.Accepted(now, sender, accepted.Key, accepted.Load))
 	case wire.KindLocated:
 		located, err := wire.ParseLocated(body)
 		if err != nil {
 			return err
 		}
 
-		f.do(f.router.Located(now, sender, located.ID, located.Answers))
+		f.execute(f.router.Located(now, sender, located.ID, located.Answers))
 	case wire.KindFound:
 		found, err := wire.ParseFound(body)
 		if err != nil {
 			return err
 		}
 
-		f.do(f.router.Found(now, sender, found.Key))
+		f.execute(f.router.Found(now, sender, found.Key))
 	case wire.KindReturned:
 		returned, err := wire.ParseReturned(body)
 		if err != nil {
@@ -254,29 +253,29 @@
 			return err
 		}
 
-		f.do(f.router.Returned(now, sender, header, returned.Packet, returned.Load))
+		f.execute(f.router.Returned(now, sender, header, returned.Packet, returned.Load))
 	default:
-		return errors.New("nobody waits for this kind")
+		return errors.New("unexpected message kind")
 	}
 
 	return nil
 }
 
-// do carries out actions. The caller holds the mutex.
-func (f *Forwarder) do(actions []steering.Action) {
+// execute carries out actions of the router. The caller holds the mutex.
+func (f *Forwarder) execute(actions []steering.Action) {
 	for i := range actions {
-		f.doOne(&actions[i])
+		f.executeOne(&actions[i])
 	}
 
 	if _, waiting := f.router.Due(); waiting {
 		select {
 		case f.wake <- struct{}{}:
-		default: // the goroutine is awake already
+		default: // a wake-up is already pending
 		}
 	}
 }
 
-func (f *Forwarder) doOne(action *steering.Action) {
+func (f *Forwarder) executeOne(action *steering.Action) {
 	var err error
 
 	switch action.Kind {
@@ -289,11 +288,11 @@
 	case steering.Locate:
 		f.buffer = wire.Locate{ID: action.Question.ID, Keys: action.Question.Keys}.Append(f.buffer[:0])
 		agent := netip.AddrPortFrom(action.To.Addr(), f.settings.Inner.Port())
-		err = f.inner.Send(agent, f.buffer)
+		err = f.control.Send(agent, f.buffer)
 	}
 
 	if err != nil {
-		f.logger.Debug("a packet did not leave", "flow", action.Key.String(), "error", err)
+		f.logger.Debug("could not send a packet", "flow", action.Key.String(), "error", err)
 	}
 
 	if action.Reason != steering.ReasonNone {
@@ -302,15 +301,15 @@
 	}
 }
 
-// tick drives the decisions that depend on time.
-func (f *Forwarder) tick(ctx context.Context) {
+// runTicks calls the router whenever a decision that depends on time is due.
+func (f *Forwarder) runTicks(ctx context.Context) {
 	for ctx.Err() == nil {
-		timer := time.NewTimer(f.nextTick())
+		timer := time.NewTimer(f.untilNextTick())
 
 		select {
 		case <-timer.C:
 			f.mutex.Lock()
-			f.do(f.router.Tick(time.Now()))
+			f.execute(f.router.Tick(time.Now()))
 			f.mutex.Unlock()
 		case <-f.wake:
 		case <-ctx.Done():
@@ -320,19 +319,19 @@
 	}
 }
 
-func (f *Forwarder) nextTick() time.Duration {
+func (f *Forwarder) untilNextTick() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 
 	due, ok := f.router.Due()
 	if !ok {
-		return idleTick
+		return maxTickInterval
 	}
 
-	return min(idleTick, max(0, time.Until(due)))
+	return min(maxTickInterval, max(0, time.Until(due)))
 }
 
-// events passes what the follower learns to the router.
+// events passes documents and agent records from the follower to the router.
 type events struct{ *Forwarder }
 
 func (e events) Document(_ time.Time, table *route.Table) {
