--- a/internal/program/balancer/balancer.go
+++ b/internal/program/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer is the process on entry instances. It forwards datagrams
-// between callers and agents and holds no flow state. It also relays views to
+// Package balancer implements the process on entry instances. It forwards
+// datagrams between callers and agents without flow state, and relays views to
 // the instances of its availability zone.
 //
 // # Usage
@@ -7,8 +7,8 @@
 //	balancer, err := balancer.New(config, telemetry)
 //	err = balancer.Run(ctx)
 //
-// When the context ends, the balancer reports that it is not ready and
-// forwards until the fabric has had time to stop sending to it.
+// When the context ends, the balancer reports that it is not ready and keeps
+// forwarding until the fabric has had time to take it out of rotation.
 package balancer
 
 import (
@@ -38,40 +38,40 @@
 )
 
 const (
-	batchSize     = 64
-	maxDatagram   = 1500
-	receiveBuffer = 4 << 20 // bytes per socket
-	idleBatches   = 8       // batches in the pool beyond one for each data socket
-	leaveTimeout  = 3 * time.Second
+	batchSize          = 64
+	maxDatagramBytes   = 1500
+	receiveBufferBytes = 4 << 20 // bytes per socket
+	spareBatches       = 8       // batches in the pool in addition to one for each data socket
+	leaveTimeout       = 3 * time.Second
 )
 
-// Balancer forwards datagrams.
+// Balancer forwards datagrams and relays views.
 type Balancer struct {
-	config   Settings
-	observed *telemetry.Telemetry
-	logger   *slog.Logger
-	member   *member.Member
-	relay    *relay
-	pool     *udp.Pool
-	data     []*udp.Socket
-	engine   atomic.Pointer[forward.Balancer]
-	applying sync.Mutex // held while a view is put into force
-	services *listeners
+	config     Settings
+	telemetry  *telemetry.Telemetry
+	logger     *slog.Logger
+	member     *member.Member
+	relay      *relay
+	pool       *udp.Pool
+	data       []*udp.Socket
+	engine     atomic.Pointer[forward.Balancer]
+	applyMutex sync.Mutex // held while a view is applied
+	services   *listeners
 }
 
 // New returns a balancer and binds its data address.
-func New(config Settings, observed *telemetry.Telemetry) (*Balancer, error) {
-	store, err := identity.Open(config.Identity, observed.Logger())
+func New(config Settings, tel *telemetry.Telemetry) (*Balancer, error) {
+	store, err := identity.Open(config.Identity, tel.Logger())
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 
 	b := &Balancer{
-		config:   config,
-		observed: observed,
-		logger:   observed.Logger(),
-		pool: udp.NewPool(config.Workers+idleBatches, udp.BatchConfig{
-			Size: batchSize, Length: maxDatagram, Headroom: datagram.HeaderLength,
+		config:    config,
+		telemetry: tel,
+		logger:    tel.Logger(),
+		pool: udp.NewPool(config.Workers+spareBatches, udp.BatchConfig{
+			Size: batchSize, Length: maxDatagramBytes, Headroom: datagram.HeaderLength,
 		}),
 	}
 
@@ -103,7 +103,7 @@
 func (b *Balancer) socketOptions() udp.Options {
 	return udp.Options{
 		Sockets:       b.config.Workers,
-		ReceiveBuffer: receiveBuffer,
+		ReceiveBuffer: receiveBufferBytes,
 		Refused: func(destination netip.AddrPort, _ syscall.Errno) {
 			if engine := b.engine.Load(); engine != nil {
 				engine.Refused(time.Now(), destination)
@@ -123,11 +123,11 @@
 	}
 }
 
-// apply puts a view into force. The member calls it for one view at a time, and
-// Run for the view that came before the engine.
+// apply makes a view take effect. The member calls it for each new view, one at a
+// time. Run calls it for the view that arrived before the engine existed.
 func (b *Balancer) apply(current *view.View) {
-	b.applying.Lock()
-	defer b.applying.Unlock()
+	b.applyMutex.Lock()
+	defer b.applyMutex.Unlock()
 
 	engine := b.engine.Load()
 	if engine == nil {
@@ -143,21 +143,21 @@
 	b.services.update(current)
 }
 
-// Run forwards until the context ends and the linger time has passed.
+// Run forwards datagrams until the context ends and the linger time has passed.
 func (b *Balancer) Run(ctx context.Context) error {
-	living, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	ctx, fail := context.WithCancelCause(ctx)
-	parts := group.New(fail)
+	tasks := group.New(fail)
 
-	defer parts.Wait()
+	defer tasks.Wait()
 	defer stop()
 
-	parts.Go(func() { b.member.Run(living) })
-	parts.Go(func() { b.relay.run(living) })
+	tasks.Go(func() { b.member.Run(runCtx) })
+	tasks.Go(func() { b.relay.run(runCtx) })
 
 	if err := b.member.Wait(ctx); err != nil {
 		for _, socket := range b.data {
-			_ = socket.Close() // nothing was served
+			_ = socket.Close() // no datagram was served yet
 		}
 
 		return errors.Trace(err)
@@ -168,66 +168,68 @@
 	b.publishCounters(engine)
 
 	for _, socket := range b.data {
-		parts.Go(func() { b.serve(socket, b.fromAgents()) })
+		tasks.Go(func() { b.serve(socket, b.agentHandler()) })
 	}
 
 	b.apply(b.member.View())
-	b.observed.SetReady(true)
+	b.telemetry.SetReady(true)
 	b.logger.Info("serving", "incarnation", b.member.Incarnation(), "data", b.config.Data.String())
 
 	select {
 	case <-ctx.Done():
-		b.leave(living)
+		b.leave(runCtx)
 
 		return errors.Trace(b.close())
 	case <-b.member.Replaced():
-		// Agents do not reply through the former incarnation.
-		b.observed.SetReady(false)
+		// Agents no longer send replies through the former incarnation.
+		b.telemetry.SetReady(false)
 
 		if err := b.close(); err != nil {
 			b.logger.Debug("sockets not closed", "error", err)
 		}
 
-		return errors.New("the controllers have forgotten the balancer, it must start anew")
+		return errors.New("the controllers no longer know this incarnation, the balancer must be restarted")
 	}
 }
 
-// leave lets the fabric take the balancer out before it stops forwarding.
+// leave announces that the balancer drains, and forwards for the linger time so
+// that the fabric can take it out of rotation.
 func (b *Balancer) leave(ctx context.Context) {
 	b.logger.Info("leaving", "linger", b.config.Linger)
-	b.observed.SetReady(false)
-	b.tell(ctx, control.PhaseDraining)
+	b.telemetry.SetReady(false)
+	b.announcePhase(ctx, control.PhaseDraining)
 
 	timer := time.NewTimer(b.config.Linger)
 	defer timer.Stop()
 
 	<-timer.C
-	b.tell(ctx, control.PhaseGone)
+	b.announcePhase(ctx, control.PhaseGone)
 	b.member.Close()
 }
 
-func (b *Balancer) tell(ctx context.Context, phase control.Phase) {
+func (b *Balancer) announcePhase(ctx context.Context, phase control.Phase) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 
 	if err := b.member.Leave(ctx, phase); err != nil {
-		b.logger.Warn("controllers not told, the lease will expire", "phase", phase, "error", err)
+		b.logger.Warn("could not notify the controllers, the lease will expire", "phase", phase, "error", err)
 	}
 }
 
 func (b *Balancer) close() error {
 	b.services.close()
 
-	var failed error
+	var closeErr error
 
-	// A socket that has failed cannot be stopped, which must not keep the others.
+	// Stopping a socket that has failed returns an error. The others must be stopped
+	// all the same.
 	for _, socket := range b.data {
 		if err := socket.Stop(); err != nil {
-			failed = errors.Trace(err)
+			closeErr = errors.Trace(err)
 		}
 	}
 
-	return failed
+	return closeErr
 }
 
 func (b *Balancer) serve(socket *udp.Socket, handle func(*udp.Batch)) {
@@ -240,8 +242,8 @@
 	}
 }
 
-// fromCallers returns the handler of one socket of a service.
-func (b *Balancer) fromCallers(service view.ServiceID) func(*udp.Batch) {
+// callerHandler returns the batch handler of one socket of a service.
+func (b *Balancer) callerHandler(service view.ServiceID) func(*udp.Batch) {
 	worker := b.engine.Load().Worker()
 	outbox := udp.NewOutbox(batchSize)
 	data := b.data[int(service)%len(b.data)]
@@ -260,7 +262,7 @@
 			}
 
 			if decision.Reason == forward.First || decision.Reason == forward.FirstFurther {
-				b.traceFirst(batch.Payload(i), &decision)
+				b.traceFirstPacket(batch.Payload(i), &decision)
 			}
 
 			framed := batch.Framed(i)
@@ -272,14 +274,15 @@
 	}
 }
 
-// traceFirst records the hop of a first packet in the trace of its session.
-func (b *Balancer) traceFirst(payload []byte, decision *forward.Decision) {
+// traceFirstPacket adds a span for the forwarding of a first packet to the trace of
+// its session.
+func (b *Balancer) traceFirstPacket(payload []byte, decision *forward.Decision) {
 	dcid := connid.Parse(payload).DCID
-	if !b.observed.SamplesSession(dcid) {
+	if !b.telemetry.SamplesSession(dcid) {
 		return
 	}
 
-	_, span := b.observed.Tracer().Start(telemetry.WithSession(context.Background(), dcid), "balancer.first_packet",
+	_, span := b.telemetry.Tracer().Start(telemetry.WithSession(context.Background(), dcid), "balancer.first_packet",
 		trace.WithAttributes(
 			attribute.Int64("service", int64(decision.Header.Service)),
 			attribute.Int64("agent", int64(decision.Header.Agent)),
@@ -288,8 +291,8 @@
 	span.End()
 }
 
-// fromAgents returns the handler of one data socket.
-func (b *Balancer) fromAgents() func(*udp.Batch) {
+// agentHandler returns the batch handler of one data socket.
+func (b *Balancer) agentHandler() func(*udp.Batch) {
 	worker := b.engine.Load().Worker()
 	outbox := udp.NewOutbox(batchSize)
 	data := b.data[0]
@@ -323,7 +326,7 @@
 	}
 }
 
-// publishCounters shows the decisions by reason under /debug/vars.
+// publishCounters publishes the number of decisions by reason in /debug/vars.
 func (b *Balancer) publishCounters(engine *forward.Balancer) {
 	telemetry.Publish("balancer_datagrams", func() any {
 		counts := engine.Counts()
--- a/internal/program/balancer/listeners.go
+++ b/internal/program/balancer/listeners.go
@@ -12,13 +12,13 @@
 )
 
 // listeners holds the sockets of all services. Only the goroutine that applies
-// views changes them; traffic goroutines read the published map.
+// views updates them; the goroutines that serve sockets read the published map.
 type listeners struct {
 	balancer  *Balancer
 	published atomic.Pointer[map[view.ServiceID]listener]
 }
 
-// listener is the sockets of one service.
+// listener holds the sockets of one service.
 type listener struct {
 	address netip.AddrPort
 	sockets []*udp.Socket
@@ -32,8 +32,8 @@
 	return l
 }
 
-// socket returns the socket from which replies of a service are sent, nil if
-// the balancer does not listen for the service.
+// socket returns the socket that sends the replies of a service, or nil if the
+// balancer does not listen for the service.
 func (l *listeners) socket(service view.ServiceID) *udp.Socket {
 	found, ok := (*l.published.Load())[service]
 	if !ok {
@@ -44,10 +44,10 @@
 }
 
 // update closes the sockets of removed services, then opens those of new ones.
-// Sockets share addresses (SO_REUSEPORT), so an address that passes from one
-// service to another must be free first: packets for the new service would
-// reach the old one. An address that cannot be bound is logged and tried again
-// with the next view.
+// The order matters because sockets share addresses (SO_REUSEPORT): if an address
+// moves from one service to another while the old sockets are still open, they
+// receive packets of the new service. An address that cannot be bound is logged
+// and tried again with the next view.
 func (l *listeners) update(current *view.View) {
 	old := *l.published.Load()
 	next := make(map[view.ServiceID]listener, len(current.Services()))
@@ -100,7 +100,7 @@
 	group := conc.NewWaitGroup()
 
 	for _, socket := range sockets {
-		group.Go(func() { l.balancer.serve(socket, l.balancer.fromCallers(service.ID)) })
+		group.Go(func() { l.balancer.serve(socket, l.balancer.callerHandler(service.ID)) })
 	}
 
 	l.balancer.logger.Info("service address bound", "service", service.Name, "address", address.String())
@@ -108,7 +108,7 @@
 	return listener{address: address, sockets: sockets, group: group}, true
 }
 
-// stop returns when the sockets of a service are closed.
+// stop closes the sockets of a service and waits for their goroutines.
 func (l *listeners) stop(removed listener) {
 	for _, socket := range removed.sockets {
 		if err := socket.Stop(); err != nil {
@@ -119,7 +119,7 @@
 	removed.group.Wait()
 }
 
-// close stops all sockets and waits for their goroutines.
+// close closes the sockets of all services and waits for their goroutines.
 func (l *listeners) close() {
 	for _, existing := range *l.published.Load() {
 		l.stop(existing)
--- a/internal/program/balancer/listeners_test.go
+++ b/internal/program/balancer/listeners_test.go
@@ -14,7 +14,7 @@
 	"jayspindle/internal/transport/udp"
 )
 
-// freePort returns an address on loopback that nothing uses at the moment.
+// freePort returns a loopback address with an unused port.
 func freePort(t *testing.T) netip.AddrPort {
 	t.Helper()
 
@@ -33,13 +33,13 @@
 	})
 }
 
-// Guards against a packet that reaches the service that had the address before
-// (P2), and against a service without a socket after addresses were exchanged.
+// Guards against a packet that reaches the previous service of its address, and
+// against a service that has no socket after two services exchanged addresses.
 func TestListeners(t *testing.T) {
 	is := is.New(t)
 	b := &Balancer{
 		config: Settings{Workers: 1}, logger: slog.New(slog.DiscardHandler),
-		pool: udp.NewPool(4, udp.BatchConfig{Size: 4, Length: maxDatagram, Headroom: datagram.HeaderLength}),
+		pool: udp.NewPool(4, udp.BatchConfig{Size: 4, Length: maxDatagramBytes, Headroom: datagram.HeaderLength}),
 	}
 	b.services = newListeners(b)
 	b.engine.Store(forward.NewBalancer(1, 1))
@@ -55,7 +55,7 @@
 	service := func(id view.ServiceID, address netip.AddrPort) view.Service {
 		return view.Service{ID: id, Name: string(rune('a' + id)), Address: address, Slots: 1, Buckets: 64}
 	}
-	assert := func(id view.ServiceID, address netip.AddrPort) {
+	assertSocket := func(id view.ServiceID, address netip.AddrPort) {
 		t.Helper()
 		socket := b.services.socket(id)
 		is.True(socket != nil)
@@ -63,14 +63,14 @@
 	}
 
 	b.apply(viewOf(1, service(1, first), service(2, second)))
-	assert(1, first)
-	assert(2, second)
+	assertSocket(1, first)
+	assertSocket(2, second)
 
 	b.apply(viewOf(2, service(1, second), service(2, first)))
-	assert(1, second)
-	assert(2, first)
+	assertSocket(1, second)
+	assertSocket(2, first)
 
 	b.apply(viewOf(3, service(3, first)))
-	assert(3, first)
+	assertSocket(3, first)
 	is.True(b.services.socket(1) == nil)
 }
--- a/internal/program/balancer/relay.go
+++ b/internal/program/balancer/relay.go
@@ -17,18 +17,20 @@
 )
 
 const (
-	relayGrace = time.Second
-	// batchInterval collects renewals, so that the controllers get one message
-	// for all instances of an availability zone. It stays well below the second
-	// after which an instance renews again.
+	relayShutdownTimeout = time.Second
+	// batchInterval is how long renewals are collected, so that the controllers get
+	// one message for all instances of an availability zone. It stays well below the
+	// second after which an instance renews again.
 	batchInterval = 300 * time.Millisecond
-	// renewTimeout and batchInterval together stay below the second after which
-	// an instance renews again: with a lost reply it learns in time to do so.
+	// renewTimeout and batchInterval together stay below the second after which an
+	// instance renews again, so that the instance learns of a lost reply before its
+	// next renewal.
 	renewTimeout = 600 * time.Millisecond
 )
 
 // relay serves views and membership calls to the instances of an availability
-// zone, so that the cost for controllers does not grow with the instances.
+// zone, so that the load on controllers does not grow with the number of
+// instances.
 type relay struct {
 	environment string
 	publisher   *rollout.Publisher
@@ -38,7 +40,7 @@
 	logger      *slog.Logger
 }
 
-// upstream calls the controllers.
+// upstream is a client of the controllers.
 type upstream interface {
 	Call(ctx context.Context, method string, request, reply any) error
 	Close()
@@ -88,19 +90,19 @@
 	}
 
 	server.HandleStream(control.MethodWatch, rollout.Handler(r.publisher))
-	server.Handle(control.MethodRenew, r.renew)
+	server.Handle(control.MethodRenew, r.handleRenew)
 	server.Handle(control.MethodAnnounce, func(ctx context.Context, request *link.Request) (any, error) {
-		return pass[control.Announce, control.AnnounceReply](ctx, r.upstream, request)
+		return forwardCall[control.Announce, control.AnnounceReply](ctx, r.upstream, request)
 	})
 	server.Handle(control.MethodLeave, func(ctx context.Context, request *link.Request) (any, error) {
-		return pass[control.Leave, control.LeaveReply](ctx, r.upstream, request)
+		return forwardCall[control.Leave, control.LeaveReply](ctx, r.upstream, request)
 	})
 
 	return r, nil
 }
 
-// pass hands a call on to the controllers.
-func pass[Q, A any](ctx context.Context, upstream upstream, request *link.Request) (any, error) {
+// forwardCall forwards a call to the controllers and returns their reply.
+func forwardCall[Q, A any](ctx context.Context, upstream upstream, request *link.Request) (any, error) {
 	var (
 		message Q
 		reply   A
@@ -120,19 +122,19 @@
 func (r *relay) run(ctx context.Context) {
 	var group conc.WaitGroup
 
-	group.Go(func() { r.batch(ctx) })
-	group.Go(func() { r.tick(ctx) })
+	group.Go(func() { r.batchRenewals(ctx) })
+	group.Go(func() { r.publishViews(ctx) })
 
-	if err := r.server.Serve(ctx, relayGrace); err != nil {
-		r.logger.Error("relay ended", "error", err)
+	if err := r.server.Serve(ctx, relayShutdownTimeout); err != nil {
+		r.logger.Error("relay server failed", "error", err)
 	}
 
 	group.Wait()
 	r.upstream.Close()
 }
 
-// tick publishes coalesced views.
-func (r *relay) tick(ctx context.Context) {
+// publishViews lets the publisher send coalesced views until ctx ends.
+func (r *relay) publishViews(ctx context.Context) {
 	ticker := time.NewTicker(rollout.CoalesceInterval)
 	defer ticker.Stop()
 
@@ -146,24 +148,25 @@
 	}
 }
 
-// renew answers control.MethodRenew.
-func (r *relay) renew(ctx context.Context, request *link.Request) (any, error) {
+// handleRenew handles control.MethodRenew.
+func (r *relay) handleRenew(ctx context.Context, request *link.Request) (any, error) {
 	var message control.Renew
 	if err := request.Decode(&message); err != nil {
 		return nil, err
 	}
 
-	return r.join(ctx, message)
+	return r.enqueueRenewals(ctx, message)
 }
 
-// join adds the renewals of a message to the next batch and waits for the reply.
-func (r *relay) join(ctx context.Context, message control.Renew) (*control.RenewReply, error) {
+// enqueueRenewals adds the renewals of a message to the next batch and waits for
+// the reply.
+func (r *relay) enqueueRenewals(ctx context.Context, message control.Renew) (*control.RenewReply, error) {
 	if message.Environment != r.environment {
 		return nil, link.Errorf(link.KindInvalid, "the relay serves %q, not %q", r.environment, message.Environment)
 	}
 
-	// All are queued before the first is waited for, so that a message with many
-	// renewals takes one batch and not one for each.
+	// All renewals are queued before the first result is awaited, so that they share
+	// one batch instead of taking one batch each.
 	waiting := make([]waitingRenewal, 0, len(message.Renewals))
 
 	for _, item := range message.Renewals {
@@ -197,10 +200,10 @@
 	return &reply, nil
 }
 
-// batch sends the collected renewals to the controllers. A batch does not wait
-// for the reply to the one before: one lost reply would otherwise keep the whole
-// availability zone from renewing.
-func (r *relay) batch(ctx context.Context) {
+// batchRenewals collects renewals and sends them to the controllers in batches. A
+// batch does not wait for the reply to the previous one: otherwise one lost reply
+// would block the renewals of the whole availability zone.
+func (r *relay) batchRenewals(ctx context.Context) {
 	var flushes conc.WaitGroup
 	defer flushes.Wait()
 
@@ -222,14 +225,14 @@
 		}
 
 		if batch := waiting; len(batch) > 0 {
-			flushes.Go(func() { r.flush(ctx, batch) })
+			flushes.Go(func() { r.sendBatch(ctx, batch) })
 
 			waiting = nil
 		}
 	}
 }
 
-func (r *relay) flush(ctx context.Context, waiting []waitingRenewal) {
+func (r *relay) sendBatch(ctx context.Context, waiting []waitingRenewal) {
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 
--- a/internal/program/balancer/relay_test.go
+++ b/internal/program/balancer/relay_test.go
@@ -16,8 +16,9 @@
 	"jayspindle/internal/transport/link"
 )
 
-// controllers is an upstream that loses some replies and knows some instances.
-type controllers struct {
+// fakeControllers is an upstream that loses some replies, records all renewals and
+// reports one instance as unknown.
+type fakeControllers struct {
 	mutex   sync.Mutex
 	calls   int
 	lost    func(call int) bool
@@ -25,7 +26,7 @@
 	unknown view.Incarnation
 }
 
-func (c *controllers) Call(ctx context.Context, _ string, request, reply any) error {
+func (c *fakeControllers) Call(ctx context.Context, _ string, request, reply any) error {
 	c.mutex.Lock()
 	c.calls++
 	lost := c.lost(c.calls)
@@ -51,10 +52,10 @@
 	return nil
 }
 
-func (*controllers) Close() {}
+func (*fakeControllers) Close() {}
 
-// runRelay runs the batches of a relay while test runs.
-func runRelay(t *testing.T, upstream *controllers, test func(t *testing.T, r *relay)) {
+// runRelay runs test against a relay that batches renewals.
+func runRelay(t *testing.T, upstream *fakeControllers, test func(t *testing.T, r *relay)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		upstream.renewed = make(map[view.Incarnation]time.Time)
@@ -66,7 +67,7 @@
 
 		var group conc.WaitGroup
 
-		group.Go(func() { r.batch(ctx) })
+		group.Go(func() { r.batchRenewals(ctx) })
 		test(t, r)
 		stop()
 		group.Wait()
@@ -79,16 +80,16 @@
 		message.Renewals = append(message.Renewals, control.Renewal{Incarnation: incarnation})
 	}
 
-	return r.join(ctx, message)
+	return r.enqueueRenewals(ctx, message)
 }
 
 func TestRelay(t *testing.T) {
 	never := func(int) bool { return false }
 
-	// Guards against a message with many renewals that takes one batch for each:
-	// the leases of a large zone would run out meanwhile.
+	// Guards against one batch for each renewal of a message: the leases of a large
+	// zone would expire before all were sent.
 	t.Run("one batch", func(t *testing.T) {
-		upstream := &controllers{lost: never, unknown: 3}
+		upstream := &fakeControllers{lost: never, unknown: 3}
 		runRelay(t, upstream, func(t *testing.T, r *relay) {
 			is := is.New(t)
 			reply, err := renewAll(t.Context(), r, 1, 2, 3, 4)
@@ -98,10 +99,10 @@
 		})
 	})
 
-	// Guards against a lost reply that holds up the batches after it, and
-	// against an instance that takes a lost reply for being unknown.
+	// Guards against a lost reply that delays later batches, and against a lost
+	// reply that an instance takes to mean that it is unknown.
 	t.Run("lost replies", func(t *testing.T) {
-		upstream := &controllers{lost: func(call int) bool { return call%2 == 1 }, unknown: 99}
+		upstream := &fakeControllers{lost: func(call int) bool { return call%2 == 1 }, unknown: 99}
 		runRelay(t, upstream, func(t *testing.T, r *relay) {
 			is := is.New(t)
 
@@ -131,9 +132,9 @@
 		})
 	})
 
-	// Guards against a relay that renews for another environment.
+	// Guards against a relay that accepts renewals of another environment.
 	t.Run("environment", func(t *testing.T) {
-		upstream := &controllers{lost: never}
+		upstream := &fakeControllers{lost: never}
 		runRelay(t, upstream, func(t *testing.T, r *relay) {
 			r.environment = "production"
 			_, err := renewAll(t.Context(), r, 1)
