--- a/internal/program/follower/follower.go
+++ b/internal/program/follower/follower.go
@@ -1,18 +1,18 @@
-// Package follower keeps an instance of a pass-through deployment up to date:
-// it polls the controllers, and hands over new documents and changes of the
-// list of agents. An agent announces itself with the same polls.
+// Package follower keeps an instance of a pass-through deployment up to date. It
+// polls the controllers and passes on new documents and changes to the list of
+// agents. An agent announces itself with the same polls.
 //
 // # Usage
 //
 //	f := follower.New(follower.Config{Conn: conn, Seeds: seeds, Events: events, Logger: logger})
 //	go f.Run(ctx)
 //	if f.Handle(from, kind, body) { ... } // messages of the shared connection
-//	f.Poll()                              // after a change that cannot wait
+//	f.Poll()                              // after a change that controllers must learn at once
 //
 // Every controller is polled, so that each of them knows all agents and can
-// take over. The list of agents comes from one of them, the source. An instance
-// that has no answer for a while reads its seeds again, because the settings
-// may have changed without a signal.
+// take over. The list of agents comes from one of them, the source. If no
+// controller answers for a while, the seeds are read again, because the settings
+// may have changed without a notification.
 package follower
 
 import (
@@ -32,33 +32,33 @@
 )
 
 const (
-	// pollInterval leaves four polls within roster.SilentAfter.
+	// pollInterval allows four polls within roster.SilentAfter.
 	pollInterval = 400 * time.Millisecond
 
-	// eagerInterval is the interval until the instance has a confirmed view, and
-	// bounds how often news lead to a poll.
-	eagerInterval = 50 * time.Millisecond
+	// eagerPollInterval is the interval while the instance has no document, or no
+	// source that is in touch with its group.
+	eagerPollInterval = 50 * time.Millisecond
 
-	// spacing is the least time between two polls. News of many agents arrive
-	// together when a deployment starts.
-	spacing = 30 * time.Millisecond
+	// minPollInterval is the minimum time between two polls. It limits the polls when
+	// a deployment starts and the news of many agents arrive together.
+	minPollInterval = 30 * time.Millisecond
 
-	// fetchInterval is how long a fetched document may take before it is
-	// fetched again: 256 KB take 0.5 s on the slowest link in use.
-	fetchInterval = 250 * time.Millisecond
+	// fetchRetryInterval is how long a requested document may take to arrive before
+	// it is requested again. 256 KB take 0.5 s on the slowest link in use.
+	fetchRetryInterval = 250 * time.Millisecond
 
-	// sourceTimeout is two polls that were not answered. The list then comes
-	// from another controller.
+	// sourceTimeout is the time of two unanswered polls. After it another controller
+	// becomes the source.
 	sourceTimeout = 2*pollInterval + 100*time.Millisecond
 )
 
-// Events is what an instance wants to know. The methods are called by one
+// Events receives the updates of a follower. Its methods are called by one
 // goroutine at a time.
 type Events interface {
 	// Document is called with each newer document.
 	Document(now time.Time, table *route.Table)
-	// Agents is called with changes of the list of agents. With whole set the
-	// records are the whole list.
+	// Agents is called with changes to the list of agents. If whole is set, the
+	// records are the complete list.
 	Agents(now time.Time, records []roster.Record, whole bool)
 	// Confirmed is called when a controller in touch with its group has
 	// confirmed that document and agents are current.
@@ -73,40 +73,40 @@
 	Events Events
 	// Follows is set by instances that need the list of agents.
 	Follows bool
-	// Announce returns what an agent tells of itself; nil for other instances.
+	// Announce returns the record that an agent publishes; nil for other instances.
 	Announce func(now time.Time) roster.Record
 	Logger   *slog.Logger
 }
 
 // Follower polls controllers. It is safe for concurrent use.
 type Follower struct {
-	config Config
-	kick   chan struct{}
-
-	mutex       sync.Mutex
-	controllers []flow.Endpoint
-	sequence    uint64
-	version     uint64
-	source      flow.Endpoint
-	settled     bool // the source was in touch with its group at its last answer
-	epoch       uint64
-	position    uint64
-	complete    bool      // the list of the source was complete when it was fetched as a whole
-	answered    time.Time // last answer of the source
-	heard       time.Time // last answer of any controller
-	fetched     time.Time // last Fetch
+	config  Config
+	pollNow chan struct{}
+
+	mutex          sync.Mutex
+	controllers    []flow.Endpoint
+	sequence       uint64
+	version        uint64
+	source         flow.Endpoint
+	sourceSettled  bool // the source was in touch with its group at its last answer
+	epoch          uint64
+	position       uint64
+	listComplete   bool      // the list of the source was complete when it was fetched as a whole
+	sourceAnswered time.Time // last answer of the source
+	lastAnswer     time.Time // last answer of any controller
+	lastFetch      time.Time // last time a document was requested; zero once one has arrived
 }
 
 // New returns a follower that knows only its seeds.
 func New(config Config) *Follower {
-	return &Follower{config: config, kick: make(chan struct{}, 1), controllers: config.Seeds()}
+	return &Follower{config: config, pollNow: make(chan struct{}, 1), controllers: config.Seeds()}
 }
 
-// Poll polls all controllers soon.
+// Poll requests a poll of all controllers without waiting for the poll interval.
 func (f *Follower) Poll() {
 	select {
-	case f.kick <- struct{}{}:
-	default: // a poll is due already
+	case f.pollNow <- struct{}{}:
+	default: // a poll is already requested
 	}
 }
 
@@ -122,12 +122,12 @@
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		polled := time.Now()
-		f.sleep(ctx, f.pollAll(polled), f.kick)
-		f.sleep(ctx, spacing-time.Since(polled), nil)
+		f.sleep(ctx, f.pollAll(polled), f.pollNow)
+		f.sleep(ctx, minPollInterval-time.Since(polled), nil)
 	}
 }
 
-// sleep waits until the time has passed, the signal arrives or ctx ends.
+// sleep waits until the time has passed, a signal arrives or ctx ends.
 func (*Follower) sleep(ctx context.Context, wait time.Duration, signal <-chan struct{}) {
 	timer := time.NewTimer(max(0, wait))
 	defer timer.Stop()
@@ -139,8 +139,8 @@
 	}
 }
 
-// Farewell polls once more, so that controllers learn at once how an agent
-// stops.
+// Farewell sends a last poll, so that controllers learn at once that an agent stops
+// and in which state.
 func (f *Follower) Farewell() { f.pollAll(time.Now()) }
 
 // pollAll polls every controller and returns the time until the next poll.
@@ -148,15 +148,15 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 
-	if f.heard.IsZero() || now.Sub(f.heard) > sourceTimeout {
-		f.reseed()
+	if f.lastAnswer.IsZero() || now.Sub(f.lastAnswer) > sourceTimeout {
+		f.addSeeds()
 	}
 
-	if f.source != (flow.Endpoint{}) && now.Sub(f.answered) > sourceTimeout {
+	if f.source != (flow.Endpoint{}) && now.Sub(f.sourceAnswered) > sourceTimeout {
 		f.config.Logger.Warn("a controller no longer answers",
-			"controller", f.source.String(), "silent_ms", now.Sub(f.answered).Milliseconds())
+			"controller", f.source.String(), "silent_ms", now.Sub(f.sourceAnswered).Milliseconds())
 
-		f.source, f.settled = flow.Endpoint{}, false
+		f.source, f.sourceSettled = flow.Endpoint{}, false
 	}
 
 	f.sequence++
@@ -172,19 +172,19 @@
 		f.pollOne(poll, controller)
 	}
 
-	if !f.settled || f.version == 0 {
-		return eagerInterval
+	if !f.sourceSettled || f.version == 0 {
+		return eagerPollInterval
 	}
 
-	// The spread keeps instances that started together from polling together.
+	// The jitter keeps instances that started together from polling in step.
 	return pollInterval - time.Duration(rand.Int64N(int64(pollInterval/8)))
 }
 
-// pollOne polls a controller. Those that are not the source need not answer as
-// long as the source does: with five controllers their answers would be a third
-// of the bytes for control.
+// pollOne polls a controller. Controllers other than the source need not answer
+// while the source does: with five controllers their answers would be a third of
+// the control traffic in bytes.
 func (f *Follower) pollOne(poll wire.Poll, controller flow.Endpoint) {
-	poll.Quiet = f.settled && controller != f.source
+	poll.Quiet = f.sourceSettled && controller != f.source
 
 	if f.config.Follows && controller == f.source {
 		poll.Follows, poll.Epoch, poll.Position = true, f.epoch, f.position
@@ -199,19 +199,19 @@
 		err = f.config.Conn.Send(to, message)
 	}
 
-	// An unreachable controller is noticed by its silence.
+	// An unreachable controller is detected by missing answers.
 	if err != nil {
-		f.config.Logger.Debug("a message did not leave", "to", to, "error", err)
+		f.config.Logger.Debug("could not send a message", "to", to, "error", err)
 	}
 }
 
-// reseed adds the seeds of the present settings to the known controllers.
-func (f *Follower) reseed() {
-	f.learn(f.config.Seeds())
+// addSeeds reads the seeds again and adds them to the known controllers.
+func (f *Follower) addSeeds() {
+	f.addControllers(f.config.Seeds())
 }
 
-// learn adds controllers to the known ones.
-func (f *Follower) learn(controllers []flow.Endpoint) {
+// addControllers adds those controllers that are not yet known.
+func (f *Follower) addControllers(controllers []flow.Endpoint) {
 	for _, controller := range controllers {
 		if !slices.Contains(f.controllers, controller) {
 			f.controllers = append(f.controllers, controller)
@@ -226,7 +226,7 @@
 
 	switch kind {
 	case wire.KindNews:
-		f.called(from)
+		f.handleNews(from)
 	case wire.KindPollReply:
 		reply, err := wire.Decode[wire.PollReply](body)
 		if err != nil {
@@ -235,9 +235,9 @@
 			break
 		}
 
-		f.reply(now, from, reply)
+		f.handleReply(now, from, reply)
 	case wire.KindDocument:
-		f.document(now, from, body)
+		f.handleDocument(now, from, body)
 	default:
 		return false
 	}
@@ -245,20 +245,20 @@
 	return true
 }
 
-// called handles a call of a controller, which may be one that the seeds do not
-// name.
-func (f *Follower) called(from netip.AddrPort) {
+// handleNews polls after a notification of a controller, which may be one that the
+// seeds do not name.
+func (f *Follower) handleNews(from netip.AddrPort) {
 	if controller, ok := flow.NewEndpoint(from); ok {
 		f.mutex.Lock()
-		f.learn([]flow.Endpoint{controller})
+		f.addControllers([]flow.Endpoint{controller})
 		f.mutex.Unlock()
 	}
 
 	f.Poll()
 }
 
-// reply handles the answer of a controller.
-func (f *Follower) reply(now time.Time, from netip.AddrPort, reply wire.PollReply) {
+// handleReply handles the answer of a controller to a poll.
+func (f *Follower) handleReply(now time.Time, from netip.AddrPort, reply wire.PollReply) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 
@@ -267,71 +267,72 @@
 		return
 	}
 
-	f.heard = now
+	f.lastAnswer = now
 	if reply.Settled && len(reply.Controllers) > 0 {
 		f.controllers = reply.Controllers
 	} else {
-		// The seeds may be the last to start, so the others are asked as well.
-		f.learn(reply.Controllers)
+		// The seeds may be the last controllers to start, so the others are polled as
+		// well.
+		f.addControllers(reply.Controllers)
 	}
 
-	if reply.Version > f.version && now.Sub(f.fetched) > fetchInterval {
-		f.fetched = now
+	if reply.Version > f.version && now.Sub(f.lastFetch) > fetchRetryInterval {
+		f.lastFetch = now
 		f.send(from, wire.KindFetch, wire.Fetch{Above: f.version})
 	}
 
 	f.chooseSource(now, controller, reply.Settled)
 
 	if controller == f.source {
-		f.fromSource(now, reply)
+		f.applySourceReply(now, reply)
 	}
 }
 
-// chooseSource takes a controller as the source of the list if there is none,
-// or if it is in touch with its group and the present source is not.
+// chooseSource makes a controller the source of the list if there is none, or if
+// the controller is in touch with its group and the current source is not.
 func (f *Follower) chooseSource(now time.Time, controller flow.Endpoint, settled bool) {
 	if controller == f.source {
-		f.answered = now
+		f.sourceAnswered = now
 
-		if f.settled && !settled {
-			f.config.Logger.Info("a controller lost its group", "controller", controller.String())
+		if f.sourceSettled && !settled {
+			f.config.Logger.Info("the source lost contact with its group", "controller", controller.String())
 		}
 
-		f.settled = settled
+		f.sourceSettled = settled
 
 		return
 	}
 
-	if f.source != (flow.Endpoint{}) && (f.settled || !settled) {
+	if f.source != (flow.Endpoint{}) && (f.sourceSettled || !settled) {
 		return
 	}
 
-	f.config.Logger.Info("follows a controller", "controller", controller.String(), "settled", settled)
+	f.config.Logger.Info("chose a controller as source", "controller", controller.String(), "settled", settled)
 
-	f.source, f.settled, f.answered = controller, settled, now
-	f.epoch, f.position, f.complete = 0, 0, false
+	f.source, f.sourceSettled, f.sourceAnswered = controller, settled, now
+	f.epoch, f.position, f.listComplete = 0, 0, false
 
 	if f.config.Follows {
 		f.Poll()
 	}
 }
 
-func (f *Follower) fromSource(now time.Time, reply wire.PollReply) {
+func (f *Follower) applySourceReply(now time.Time, reply wire.PollReply) {
 	if f.config.Follows && reply.Epoch != 0 {
-		f.agents(now, reply)
+		f.applyAgents(now, reply)
 	}
 
-	if reply.Settled && reply.Version <= f.version && (!f.config.Follows || f.complete) {
+	if reply.Settled && reply.Version <= f.version && (!f.config.Follows || f.listComplete) {
 		f.config.Events.Confirmed(now)
 	}
 }
 
-// agents applies the list of the source. The list of a controller that has just
-// started may lack agents, so it is added to what is known; the whole list is
-// fetched again once it is complete.
-func (f *Follower) agents(now time.Time, reply wire.PollReply) {
+// applyAgents applies the list of the source. A controller that has just started
+// may not know all agents yet, so its list is merged with the known agents. The
+// whole list is fetched again once it is complete.
+func (f *Follower) applyAgents(now time.Time, reply wire.PollReply) {
 	if reply.Whole && reply.Settled {
-		f.complete = true
+		f.listComplete = true
 	}
 
 	if len(reply.Agents) > 0 || reply.Whole {
@@ -340,13 +341,13 @@
 
 	f.epoch, f.position = reply.Epoch, reply.Position
 
-	if reply.Settled && !f.complete {
+	if reply.Settled && !f.listComplete {
 		f.epoch = 0
 		f.Poll()
 	}
 }
 
-func (f *Follower) document(now time.Time, from netip.AddrPort, body []byte) {
+func (f *Follower) handleDocument(now time.Time, from netip.AddrPort, body []byte) {
 	document, err := route.Decode(body)
 	if err != nil {
 		f.config.Logger.Warn("dropped a document", "from", from, "error", err)
@@ -364,7 +365,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 
-	f.fetched = time.Time{}
+	f.lastFetch = time.Time{}
 
 	if table.Version() <= f.version {
 		return
