--- a/internal/program/group/group.go
+++ b/internal/program/group/group.go
@@ -1,17 +1,17 @@
-// Package group runs the parts of a program, each in a goroutine, and ends the
-// program when one of them panics.
+// Package group runs the long-lived tasks of a program, each in a goroutine, and
+// ends the program when one of them panics.
 //
 // # Usage
 //
 //	ctx, fail := context.WithCancelCause(ctx)
-//	parts := group.New(fail)
-//	parts.Go(func() { member.Run(living) })
-//	<-ctx.Done() // also when a part has panicked: context.Cause is ErrPanicked
-//	parts.Wait() // raises the panic again
+//	tasks := group.New(fail)
+//	tasks.Go(func() { member.Run(ctx) })
+//	<-ctx.Done() // also when a task has panicked: context.Cause is ErrPanicked
+//	tasks.Wait() // panics again
 //
-// A panic, for example on a violated invariant, would otherwise be held back
-// until the program ends for another reason, and the other parts would go on
-// without the one that is gone.
+// With a plain wait group a panic, for example on a violated invariant, would not
+// surface until the program ends for another reason, and the other tasks would
+// keep running without the one that panicked.
 package group
 
 import (
@@ -21,21 +21,21 @@
 	"github.com/sourcegraph/conc"
 )
 
-// ErrPanicked is the cause with which a group ends its program.
-var ErrPanicked = errors.New("a part of the program has panicked")
+// ErrPanicked is the cancellation cause after a task has panicked.
+var ErrPanicked = errors.New("a task of the program has panicked")
 
-// Group is the running parts of a program.
+// Group holds the running tasks of a program.
 type Group struct {
 	fail  context.CancelCauseFunc
-	parts conc.WaitGroup
+	tasks conc.WaitGroup
 }
 
-// New returns a group that calls fail when a part panics.
+// New returns a group that calls fail when a task panics.
 func New(fail context.CancelCauseFunc) *Group { return &Group{fail: fail} }
 
-// Go runs a part.
-func (g *Group) Go(part func()) {
-	g.parts.Go(func() {
+// Go runs a task in a new goroutine.
+func (g *Group) Go(task func()) {
+	g.tasks.Go(func() {
 		defer func() {
 			if cause := recover(); cause != nil {
 				g.fail(ErrPanicked)
@@ -43,9 +43,9 @@
 			}
 		}()
 
-		part()
+		task()
 	})
 }
 
-// Wait waits for all parts and raises the first panic again.
-func (g *Group) Wait() { g.parts.Wait() }
+// Wait waits for all tasks and re-panics with the first panic.
+func (g *Group) Wait() { g.tasks.Wait() }
--- a/internal/program/group/group_test.go
+++ b/internal/program/group/group_test.go
@@ -10,20 +10,20 @@
 	"jayspindle/internal/program/group"
 )
 
-// Guards against a program that runs on without a part that has panicked, and
-// against a panic that is lost.
+// Guards against a program that keeps running after a task has panicked, and
+// against a panic that is swallowed.
 func TestPanic(t *testing.T) {
 	is := is.New(t)
 	ctx, fail := context.WithCancelCause(context.Background())
-	parts := group.New(fail)
+	tasks := group.New(fail)
 
-	parts.Go(func() { <-ctx.Done() })
-	parts.Go(func() { panic("violated") })
+	tasks.Go(func() { <-ctx.Done() })
+	tasks.Go(func() { panic("violated") })
 
 	<-ctx.Done()
 	is.True(errors.Is(context.Cause(ctx), group.ErrPanicked))
 
 	defer func() { is.True(recover() != nil) }()
 
-	parts.Wait()
+	tasks.Wait()
 }
