--- a/internal/program/latency/latency.go
+++ b/internal/program/latency/latency.go
@@ -1,10 +1,10 @@
-// Package latency counts how long something took and tells the quantiles.
+// Package latency records durations in a histogram and reports their quantiles.
 //
 // # Usage
 //
-//	answers := latency.New()
-//	answers.Observe(elapsed)
-//	summary := answers.Summary() // for expvar
+//	replyTimes := latency.New()
+//	replyTimes.Observe(elapsed)
+//	summary := replyTimes.Summary() // for expvar
 package latency
 
 import (
@@ -15,14 +15,14 @@
 )
 
 const (
-	// highest is above the longest time budget of the deployments.
-	highest = 60 * time.Second
+	// maxTime is longer than the longest request deadline of the deployments.
+	maxTime = 60 * time.Second
 
-	// figures keeps quantiles exact to 10%, in 10 KB.
-	figures = 1
+	// significantFigures makes quantiles accurate to 10% and takes 10 KB.
+	significantFigures = 1
 )
 
-// Summary is what a histogram tells. Times are in milliseconds.
+// Summary holds the quantiles of a histogram in milliseconds.
 type Summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -31,38 +31,38 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Histogram is safe for concurrent use.
+// Histogram counts durations. It is safe for concurrent use.
 type Histogram struct {
-	mutex  sync.Mutex
-	counts *hdrhistogram.Histogram
+	mutex     sync.Mutex
+	histogram *hdrhistogram.Histogram
 }
 
 // New returns an empty histogram.
 func New() *Histogram {
-	return &Histogram{counts: hdrhistogram.New(1, highest.Microseconds(), figures)}
+	return &Histogram{histogram: hdrhistogram.New(1, maxTime.Microseconds(), significantFigures)}
 }
 
-// Observe counts a time. Times beyond a minute count as a minute.
+// Observe counts a duration. A duration of more than a minute counts as a minute.
 func (h *Histogram) Observe(elapsed time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 
-	bounded := min(max(elapsed, time.Microsecond), highest)
-	if err := h.counts.RecordValue(bounded.Microseconds()); err != nil {
+	bounded := min(max(elapsed, time.Microsecond), maxTime)
+	if err := h.histogram.RecordValue(bounded.Microseconds()); err != nil {
 		panic(err) // the value is within the range of the histogram
 	}
 }
 
-// Summary returns the quantiles since the start of the process.
+// Summary returns the quantiles of all durations since the start of the process.
 func (h *Histogram) Summary() Summary {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 
-	quantile := func(percent float64) float64 { return milliseconds(h.counts.ValueAtQuantile(percent)) }
+	quantile := func(percent float64) float64 { return milliseconds(h.histogram.ValueAtQuantile(percent)) }
 
 	return Summary{
-		Count: h.counts.TotalCount(), P50: quantile(50), P90: quantile(90), P99: quantile(99),
-		Max: milliseconds(h.counts.Max()),
+		Count: h.histogram.TotalCount(), P50: quantile(50), P90: quantile(90), P99: quantile(99),
+		Max: milliseconds(h.histogram.Max()),
 	}
 }
 
--- a/internal/program/latency/latency_test.go
+++ b/internal/program/latency/latency_test.go
@@ -9,8 +9,8 @@
 	"jayspindle/internal/program/latency"
 )
 
-// TestSummary guards against quantiles in the wrong unit, and against values
-// beyond the range that are lost.
+// TestSummary guards against quantiles in the wrong unit, and against values that
+// are lost because they are out of range.
 func TestSummary(t *testing.T) {
 	is := is.New(t)
 	histogram := latency.New()
