--- a/internal/program/backend/backend.go
+++ b/internal/program/backend/backend.go
@@ -1,16 +1,16 @@
-// Package backend is a stand-in backend server for tests, measurements and the
-// demo. It has few slots, cold starts, sheds load, honours cancellation and can
-// misbehave on demand.
+// Package backend implements a simulated backend server for tests, measurements
+// and the demo. It has few slots, is slow after a cold start, sheds load, honours
+// cancellation and can be set to report false load.
 //
 // # Usage
 //
 //	server, err := backend.New(config, ledger, logger, tracer)
 //	err = server.Run(ctx)
 //
-// Routes are described by settings: a fast or slow answer, a non-idempotent
-// request that is written to a ledger, or a feed of server-sent events. The
+// The settings describe the routes: a fast or slow response, a non-idempotent
+// request that is recorded in a ledger, or a feed of server-sent events. The
 // events of a feed have the same IDs at every backend server, so that a caller
-// can resume at another one.
+// can resume the feed at another one.
 package backend
 
 import (
@@ -51,11 +51,11 @@
 	Ledger    string             `yaml:"ledger"` // file of executed non-idempotent requests
 	Seed      uint64             `yaml:"seed"`
 	ColdStart time.Duration      `yaml:"cold_start" validate:"min=0,max=10m"`
-	Misreport bool               `yaml:"misreport"` // report nonsense as load
+	Misreport bool               `yaml:"misreport"` // report a negative number of busy slots
 	Routes    []Route            `yaml:"routes" validate:"min=1,dive"`
 }
 
-// Route describes how a kind of request is answered.
+// Route describes how the requests for a method and a path are answered.
 type Route struct {
 	Method   string        `yaml:"method" validate:"oneof=GET POST"`
 	Path     string        `yaml:"path" validate:"required,startswith=/"`
@@ -65,7 +65,7 @@
 	Feed     bool          `yaml:"feed"`   // server-sent events, one per duration
 }
 
-// Server is a stand-in backend server.
+// Server is a simulated backend server.
 type Server struct {
 	config  Settings
 	ledger  *Ledger
@@ -77,7 +77,7 @@
 	shed    atomic.Int64
 	mutex   sync.Mutex // guards random
 	random  *rand.Rand
-	stop    context.Context // ends feeds
+	runCtx  context.Context // the context of Run; its end stops feeds
 }
 
 // New returns a backend server. It listens once Run is called.
@@ -89,14 +89,14 @@
 		tracer: tracer,
 		slots:  make(chan struct{}, config.Slots),
 		random: rand.New(rand.NewPCG(config.Seed, uint64(config.Listen.Port()))),
-		stop:   context.Background(),
+		runCtx: context.Background(),
 	}
 }
 
-// Run serves until the context ends, then finishes the requests in progress.
+// Run serves until the context ends, then waits for the requests in progress.
 func (s *Server) Run(ctx context.Context) error {
 	s.started = time.Now()
-	s.stop = ctx
+	s.runCtx = ctx
 
 	listener, err := net.Listen("tcp", s.config.Listen.String())
 	if err != nil {
@@ -110,16 +110,16 @@
 	var group conc.WaitGroup
 
 	defer group.Wait()
-	defer cancel() // also if the listener fails
+	defer cancel() // ends the goroutine below if the listener fails
 
 	group.Go(func() {
 		<-ctx.Done()
 
-		stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 		defer cancel()
 
-		if err := server.Shutdown(stopping); err != nil {
-			s.logger.Error("requests cut at shutdown", "error", err)
+		if err := server.Shutdown(shutdownCtx); err != nil {
+			s.logger.Error("requests aborted at shutdown", "error", err)
 		}
 	})
 
@@ -135,12 +135,12 @@
 // Handler returns the HTTP handler of the routes and of /healthz.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthz", s.health)
+	mux.HandleFunc("GET /healthz", s.handleHealth)
 
 	for _, route := range s.config.Routes {
-		handler := s.answer
+		handler := s.handleRequest
 		if route.Feed {
-			handler = s.feed
+			handler = s.handleFeed
 		}
 
 		mux.HandleFunc(route.Method+" "+route.Path, func(response http.ResponseWriter, request *http.Request) {
@@ -158,7 +158,7 @@
 	return mux
 }
 
-// Report is the answer to /healthz.
+// Report is the response body of /healthz.
 type Report struct {
 	Slots  int   `json:"slots"`
 	Busy   int   `json:"busy"`
@@ -167,7 +167,7 @@
 	Uptime int64 `json:"uptime_seconds"`
 }
 
-func (s *Server) health(response http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleHealth(response http.ResponseWriter, _ *http.Request) {
 	report := Report{
 		Slots:  s.config.Slots,
 		Busy:   len(s.slots),
@@ -177,7 +177,7 @@
 	}
 
 	if s.config.Misreport {
-		report.Busy = -s.draw(s.config.Slots + 1)
+		report.Busy = -s.randomInt(s.config.Slots + 1)
 	}
 
 	response.Header().Set("Content-Type", "application/json")
@@ -187,16 +187,16 @@
 	}
 }
 
-func (s *Server) draw(below int) int {
+func (s *Server) randomInt(limit int) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	return s.random.IntN(below)
+	return s.random.IntN(limit)
 }
 
-// answer runs one request in a slot. Without a free slot it sheds the request
-// and says that it did not run.
-func (s *Server) answer(response http.ResponseWriter, request *http.Request, route Route) {
+// handleRequest runs a request in a slot. If no slot is free, it sheds the request,
+// and the response states that the request did not run.
+func (s *Server) handleRequest(response http.ResponseWriter, request *http.Request, route Route) {
 	select {
 	case s.slots <- struct{}{}:
 		defer func() { <-s.slots }()
@@ -219,22 +219,23 @@
 
 	s.runs.Add(1)
 
-	if !s.work(request.Context(), route.Duration) {
+	if !s.simulateWork(request.Context(), route.Duration) {
 		return
 	}
 
 	response.Header().Set("Content-Type", "text/plain")
-	// The echo lets a caller check that it got the answer to its own request.
+	// The echo lets a caller check that the response belongs to its own request.
 	response.Header().Set("Request-Echo", request.Header.Get("Request-Echo"))
 	response.Header().Set("Body-Size", strconv.Itoa(route.Size))
 
 	if _, err := response.Write([]byte(strings.Repeat("x", route.Size))); err != nil {
-		s.logger.Debug("answer not sent", "error", err)
+		s.logger.Debug("response not sent", "error", err)
 	}
 }
 
-// work waits for the service time and reports whether it was not cancelled.
-func (s *Server) work(ctx context.Context, mean time.Duration) bool {
+// simulateWork waits for a random service time. It returns false if the request is
+// cancelled first.
+func (s *Server) simulateWork(ctx context.Context, mean time.Duration) bool {
 	duration := s.serviceTime(mean)
 	if time.Since(s.started) < s.config.ColdStart {
 		duration *= 3
--- a/internal/program/backend/error.go
+++ b/internal/program/backend/error.go
@@ -7,8 +7,8 @@
 
 // The kinds of errors of this package.
 const (
-	KindFile    Kind = "file"    // the ledger cannot be used
-	KindNetwork Kind = "network" // an address cannot be used
+	KindFile    Kind = "file"    // a ledger file could not be opened, read or written
+	KindNetwork Kind = "network" // the server could not listen or serve
 )
 
 // Error is the error type of this package.
--- a/internal/program/backend/feed.go
+++ b/internal/program/backend/feed.go
@@ -12,9 +12,9 @@
 // event has the same ID at each of them.
 var feedEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// feed sends one server-sent event per period, after the Last-Event-ID that
-// the request names.
-func (s *Server) feed(response http.ResponseWriter, request *http.Request, route Route) {
+// handleFeed sends one server-sent event per period. It starts after the
+// Last-Event-ID of the request or, without one, after the newest event.
+func (s *Server) handleFeed(response http.ResponseWriter, request *http.Request, route Route) {
 	next := eventAt(time.Now(), route.Duration) + 1
 
 	if text := request.Header.Get("Last-Event-ID"); text != "" {
@@ -50,13 +50,14 @@
 	}
 }
 
-// eventAt returns the ID of the newest event at a time.
+// eventAt returns the ID of the newest event at the given time.
 func eventAt(now time.Time, period time.Duration) int64 {
 	return int64(now.Sub(feedEpoch) / period)
 }
 
-// waitUntil reports false if the caller or the server stopped first. A feed
-// ends between two events, so that the caller can resume without a gap.
+// waitUntil waits for a point in time. It returns false if the caller or the server
+// stops first. A feed ends only between two events, so that the caller can resume
+// without a gap.
 func (s *Server) waitUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -66,7 +67,7 @@
 		return true
 	case <-ctx.Done():
 		return false
-	case <-s.stop.Done():
+	case <-s.runCtx.Done():
 		return false
 	}
 }
--- a/internal/program/backend/ledger.go
+++ b/internal/program/backend/ledger.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-const ledgerMode = 0o600
+const ledgerFileMode = 0o600
 
 // Ledger is a file with one line for each run of a non-idempotent request.
 // Tests and the demo read it to count runs, also after a crash.
@@ -22,7 +22,7 @@
 		return &Ledger{}, nil
 	}
 
-	file, err := os.OpenFile(name, os.O_CREATE|os.O_APPEND|os.O_WRONLY, ledgerMode)
+	file, err := os.OpenFile(name, os.O_CREATE|os.O_APPEND|os.O_WRONLY, ledgerFileMode)
 	if err != nil {
 		return nil, newError("open ledger", KindFile, err)
 	}
@@ -30,8 +30,8 @@
 	return &Ledger{file: file}, nil
 }
 
-// Record writes a line for a run. The line is with the kernel when Record
-// returns, so it survives the death of the process.
+// Record writes a line for a run. When Record returns, the kernel has the line, so
+// it survives a crash of the process.
 func (l *Ledger) Record(key string) error {
 	if l.file == nil {
 		return nil
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Close closes the file.
+// Close closes the ledger file.
 func (l *Ledger) Close() error {
 	if l.file == nil {
 		return nil
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// CountRuns adds the runs of each key in the ledger files to a map.
+// CountRuns returns the number of runs of each key in the ledger files.
 func CountRuns(names ...string) (map[string]int, error) {
 	runs := make(map[string]int)
 
