--- a/internal/program/logline/logline.go
+++ b/internal/program/logline/logline.go
@@ -1,5 +1,5 @@
-// Package logline writes structured log lines that cost a bounded share of a
-// process: no more lines a second than a limit, and no wait for a reader.
+// Package logline writes structured log lines at a bounded cost: the number of
+// lines per second is limited, and logging never waits for a slow reader.
 //
 // # Usage
 //
@@ -7,9 +7,9 @@
 //	logger := slog.New(lines.Handler())
 //	defer lines.Close()
 //
-// Lines beyond the limit, and lines for which there is no room while the reader
-// is slow, are dropped and counted. The next line that is written says how many
-// were dropped before it.
+// Lines beyond the limit, and lines that do not fit into the buffer because the
+// reader is slow, are dropped and counted. The next line that is written states
+// how many were dropped before it.
 package logline
 
 import (
@@ -23,81 +23,83 @@
 )
 
 const (
-	// linesPerSecond is what an on-call engineer can still read, and about 0.1%
-	// of a core.
+	// linesPerSecond is as much as an on-call engineer can still read, and takes
+	// about 0.1% of a core.
 	linesPerSecond = 100
 
-	// burstLines is the lines of a restart or of a fault that hits many flows.
+	// burstLines allows for a restart, or for a fault that affects many flows.
 	burstLines = 300
 
-	// bufferLines is the lines that wait for a slow reader, about 100 KB.
+	// bufferLines is the number of lines buffered for a slow reader, about 100 KB.
 	bufferLines = 512
 )
 
-// Lines is a bounded log.
+// Lines is a log with a rate limit and a bounded buffer.
 type Lines struct {
-	limiter *rate.Limiter
-	buffer  chan []byte
-	dropped atomic.Uint64 // since the last line that was written
-	total   atomic.Uint64
-	level   slog.Level
-	output  io.Writer
-	done    sync.WaitGroup
-	closing sync.Once
+	limiter      *rate.Limiter
+	buffer       chan []byte
+	unreported   atomic.Uint64 // lines dropped since the last line that was written
+	totalDropped atomic.Uint64
+	level        slog.Level
+	output       io.Writer
+	writer       sync.WaitGroup
+	closeOnce    sync.Once
 }
 
-// New returns a log that writes to the output.
+// New returns a log that writes to the output in its own goroutine.
 func New(output io.Writer, level slog.Level) *Lines {
 	l := &Lines{
 		limiter: rate.NewLimiter(linesPerSecond, burstLines), buffer: make(chan []byte, bufferLines),
 		level: level, output: output,
 	}
 
-	l.done.Go(l.write)
+	l.writer.Go(l.writeLines)
 
 	return l
 }
 
 // Dropped returns the number of lines dropped so far.
-func (l *Lines) Dropped() uint64 { return l.total.Load() }
+func (l *Lines) Dropped() uint64 { return l.totalDropped.Load() }
 
 // Handler returns the handler for a logger.
 func (l *Lines) Handler() slog.Handler {
 	return &handler{lines: l, inner: slog.NewJSONHandler(l, &slog.HandlerOptions{Level: l.level})}
 }
 
-// Close writes the lines that wait. No line may be logged afterwards.
+// Close writes the buffered lines. No line may be logged afterwards.
 func (l *Lines) Close() {
-	l.closing.Do(func() { close(l.buffer) })
-	l.done.Wait()
+	l.closeOnce.Do(func() { close(l.buffer) })
+	l.writer.Wait()
 }
 
-// Write takes one formatted line.
+// Write buffers one formatted line, or drops it if the buffer is full.
 func (l *Lines) Write(line []byte) (int, error) {
 	select {
 	case l.buffer <- append([]byte(nil), line...):
 	default:
-		l.drop()
+		l.countDropped()
 	}
 
 	return len(line), nil
 }
 
-func (l *Lines) drop() {
-	l.dropped.Add(1)
-	l.total.Add(1)
+func (l *Lines) countDropped() {
+	l.unreported.Add(1)
+	l.totalDropped.Add(1)
 }
 
-// write passes lines on. A reader that is gone must not stop the process.
-func (l *Lines) write() {
+// writeLines writes the buffered lines to the output. A failed write, for example
+// after the reader has exited, counts as a dropped line and must not stop the
+// process.
+func (l *Lines) writeLines() {
 	for line := range l.buffer {
 		if _, err := l.output.Write(line); err != nil {
-			l.drop()
+			l.countDropped()
 		}
 	}
 }
 
-// handler formats the lines that are within the limit.
+// handler formats the lines that are within the rate limit.
 type handler struct {
 	lines *Lines
 	inner slog.Handler
@@ -112,13 +114,13 @@
 		return true
 	}
 
-	h.lines.drop()
+	h.lines.countDropped()
 
 	return false
 }
 
 func (h *handler) Handle(ctx context.Context, record slog.Record) error {
-	if dropped := h.lines.dropped.Swap(0); dropped > 0 {
+	if dropped := h.lines.unreported.Swap(0); dropped > 0 {
 		record.AddAttrs(slog.Uint64("dropped_lines", dropped))
 	}
 
--- a/internal/program/logline/logline_test.go
+++ b/internal/program/logline/logline_test.go
@@ -12,8 +12,8 @@
 	"jayspindle/internal/program/logline"
 )
 
-// TestLimit guards against a flood of refusals that costs more processor time
-// in log lines than in decisions.
+// TestLimit guards against a flood of refused packets whose log lines take more
+// processor time than the decisions.
 func TestLimit(t *testing.T) {
 	is := is.New(t)
 
@@ -40,7 +40,7 @@
 	logger := slog.New(lines.Handler())
 
 	for range 1000 {
-		logger.Info("refused") // must not block: nobody reads
+		logger.Info("refused") // must not block although nothing reads the pipe
 	}
 
 	is.New(t).NoErr(reader.Close())
