--- a/internal/program/telemetry/error.go
+++ b/internal/program/telemetry/error.go
@@ -9,7 +9,7 @@
 const (
 	KindFile    Kind = "file"    // a file cannot be opened
 	KindInvalid Kind = "invalid" // a setting is not allowed
-	KindNetwork Kind = "network" // an address cannot be used
+	KindNetwork Kind = "network" // the debug server could not listen
 )
 
 // Error is the error type of this package.
--- a/internal/program/telemetry/session.go
+++ b/internal/program/telemetry/session.go
@@ -9,12 +9,12 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// sessionKey is the context key of a trace ID.
+// sessionKey is the context key of the trace ID of a session.
 type sessionKey struct{}
 
 // SessionID returns the trace ID of the session whose first packet has the
-// given destination connection ID. Balancer and agent both know it, so neither
-// has to tell the other which trace a session belongs to.
+// given destination connection ID. Balancer and agent both know that connection
+// ID, so the trace ID need not be transmitted.
 func SessionID(dcid []byte) trace.TraceID {
 	sum := sha256.Sum256(dcid)
 
@@ -28,9 +28,9 @@
 }
 
 // SamplesSession reports whether the spans of a session are recorded. It does
-// not allocate, so that a balancer can ask for each first packet.
+// not allocate, so that a balancer can call it for each first packet.
 func (t *Telemetry) SamplesSession(dcid []byte) bool {
-	if t.file == nil || t.sampler == nil {
+	if t.traceFile == nil || t.sampler == nil {
 		return false
 	}
 
@@ -39,11 +39,12 @@
 	return result.Decision == sdktrace.RecordAndSample
 }
 
-// spanIDs makes random IDs, except for the trace IDs of sessions.
-type spanIDs struct{}
+// idGenerator generates random IDs. The trace ID of a session is derived from its
+// connection ID instead.
+type idGenerator struct{}
 
-// NewIDs returns the IDs of a span without a parent.
-func (s spanIDs) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
+// NewIDs returns the trace ID and the span ID of a span without a parent.
+func (s idGenerator) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
 	id, ok := ctx.Value(sessionKey{}).(trace.TraceID)
 	if !ok {
 		_, _ = rand.Read(id[:]) // never fails: crypto/rand aborts the process instead
@@ -52,8 +53,8 @@
 	return id, s.NewSpanID(ctx, id)
 }
 
-// NewSpanID returns the ID of a span of a trace.
-func (spanIDs) NewSpanID(context.Context, trace.TraceID) trace.SpanID {
+// NewSpanID returns a random span ID.
+func (idGenerator) NewSpanID(context.Context, trace.TraceID) trace.SpanID {
 	var id trace.SpanID
 
 	_, _ = rand.Read(id[:]) // never fails: crypto/rand aborts the process instead
--- a/internal/program/telemetry/telemetry.go
+++ b/internal/program/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry sets up what every program uses to explain itself:
-// structured logs, counters on a loopback port and traces in a file.
+// Package telemetry sets up the observability of a program: structured logs,
+// counters on a loopback port and traces in a file.
 //
 // # Usage
 //
@@ -55,14 +55,14 @@
 
 // Telemetry holds the logger, the tracer and the debug server of a process.
 type Telemetry struct {
-	logger   *slog.Logger
-	provider *sdktrace.TracerProvider
-	tracer   trace.Tracer
-	file     *os.File
-	sampler  sdktrace.Sampler // of spans without a parent
-	server   *http.Server
-	ready    atomic.Bool
-	group    conc.WaitGroup
+	logger      *slog.Logger
+	provider    *sdktrace.TracerProvider
+	tracer      trace.Tracer
+	traceFile   *os.File
+	sampler     sdktrace.Sampler // of spans without a parent
+	debugServer *http.Server
+	ready       atomic.Bool
+	group       conc.WaitGroup
 }
 
 // New starts telemetry for a program. The caller must call Close.
@@ -110,14 +110,14 @@
 		return newError("open trace file", KindFile, errors.Trace(err))
 	}
 
-	t.file = file
+	t.traceFile = file
 	t.sampler = sdktrace.TraceIDRatioBased(config.TraceRatio)
 	t.provider = sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
-		// A hop follows the decision of the hop before it, so that a sampled
-		// request has all of its spans.
+		// Each hop adopts the sampling decision of the previous one, so that a
+		// sampled request has all of its spans.
 		sdktrace.WithSampler(sdktrace.ParentBased(t.sampler)),
-		sdktrace.WithIDGenerator(spanIDs{}),
+		sdktrace.WithIDGenerator(idGenerator{}),
 		sdktrace.WithResource(resource.NewSchemaless(
 			semconv.ServiceName(program), semconv.ServiceInstanceID(instance.Name),
 			semconv.CloudAvailabilityZone(instance.Zone))),
@@ -144,11 +144,11 @@
 
 	mux := http.NewServeMux()
 	mux.Handle("GET /debug/vars", expvar.Handler())
-	mux.HandleFunc("GET /healthz", t.health)
+	mux.HandleFunc("GET /healthz", t.handleHealth)
 
-	t.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	t.debugServer = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	t.group.Go(func() {
-		if err := t.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		if err := t.debugServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			t.logger.Error("debug server stopped", "error", err)
 		}
 	})
@@ -156,7 +156,7 @@
 	return nil
 }
 
-func (t *Telemetry) health(response http.ResponseWriter, _ *http.Request) {
+func (t *Telemetry) handleHealth(response http.ResponseWriter, _ *http.Request) {
 	if !t.ready.Load() {
 		http.Error(response, "not ready", http.StatusServiceUnavailable)
 
@@ -168,33 +168,33 @@
 	}
 }
 
-// Publish shows the value of a function under a name in /debug/vars. A later
-// call with the same name replaces the function, so that a process, such as a
-// test, can hold several instances of a program.
+// Publish publishes the value of a function under a name in /debug/vars. A later
+// call with the same name replaces the function, so that a test process can run
+// several instances of a program.
 func Publish(name string, value func() any) {
-	fresh := &published{}
-	fresh.value.Store(&value)
+	variable := &replaceableVar{}
+	variable.value.Store(&value)
 
-	publishing.Lock()
-	defer publishing.Unlock()
+	publishMutex.Lock()
+	defer publishMutex.Unlock()
 
-	if known, ok := expvar.Get(name).(*published); ok {
-		known.value.Store(&value)
+	if existing, ok := expvar.Get(name).(*replaceableVar); ok {
+		existing.value.Store(&value)
 
 		return
 	}
 
-	expvar.Publish(name, fresh)
+	expvar.Publish(name, variable)
 }
 
-// publishing guards the step from the look-up of a name to its publication.
-var publishing sync.Mutex
+// publishMutex makes the lookup and the publication of a name atomic.
+var publishMutex sync.Mutex
 
-// published is a variable whose function can be replaced.
-type published struct{ value atomic.Pointer[func() any] }
+// replaceableVar is an expvar.Var whose function can be replaced.
+type replaceableVar struct{ value atomic.Pointer[func() any] }
 
 // String returns the value as JSON.
-func (p *published) String() string { return expvar.Func(*p.value.Load()).String() }
+func (v *replaceableVar) String() string { return expvar.Func(*v.value.Load()).String() }
 
 // Logger returns the logger of the process.
 func (t *Telemetry) Logger() *slog.Logger { return t.logger }
@@ -202,7 +202,7 @@
 // Tracer returns the tracer of the process.
 func (t *Telemetry) Tracer() trace.Tracer { return t.tracer }
 
-// SetReady states whether the instance takes traffic, as /healthz reports it.
+// SetReady sets whether /healthz reports that the instance takes traffic.
 func (t *Telemetry) SetReady(ready bool) { t.ready.Store(ready) }
 
 // Close flushes traces and stops the debug server.
@@ -211,14 +211,14 @@
 		t.logger.Warn("traces not flushed", "error", err)
 	}
 
-	if t.file != nil {
-		if err := t.file.Close(); err != nil {
+	if t.traceFile != nil {
+		if err := t.traceFile.Close(); err != nil {
 			t.logger.Warn("trace file not closed", "error", err)
 		}
 	}
 
-	if t.server != nil {
-		if err := t.server.Close(); err != nil {
+	if t.debugServer != nil {
+		if err := t.debugServer.Close(); err != nil {
 			t.logger.Warn("debug server not closed", "error", err)
 		}
 	}
