--- a/internal/program/sidecar/checkpointer.go
+++ b/internal/program/sidecar/checkpointer.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// checkpointInterval bounds how old the last checkpoint is when the instance
-	// loses power. Flows opened since then are not recovered.
+	// checkpointInterval bounds the age of the last checkpoint when the instance
+	// loses power. Flows that it does not contain are not recovered.
 	checkpointInterval = 500 * time.Millisecond
 
 	// checkpointCopies is one more than the number of disks that a deployment may
--- a/internal/program/sidecar/metrics.go
+++ b/internal/program/sidecar/metrics.go
@@ -28,6 +28,6 @@
 	return Metrics{
 		Decisions: s.gate.Counters(), Flows: int(load.Flows), Waiting: int(load.Waiting),
 		Failing: load.Failing, Version: s.gate.Version(),
-		Answers: s.answerTimes.Summary(), Malformed: s.malformed.Load() + s.control.Dropped(),
+		Answers: s.replyTimes.Summary(), Malformed: s.malformed.Load() + s.control.Dropped(),
 	}
 }
--- a/internal/program/sidecar/sidecar.go
+++ b/internal/program/sidecar/sidecar.go
@@ -10,8 +10,8 @@
 //	err = process.Run(ctx)
 //
 // The agent stops without a delay when ctx ends: either its backend server has
-// ended, or the agent is being restarted and the service is down until it is
-// back.
+// ended, or the agent is being restarted and a delay would prolong the
+// interruption.
 package sidecar
 
 import (
@@ -85,13 +85,13 @@
 	control      *frag.Conn
 	follower     *follower.Follower
 	checkpointer *checkpointer
-	answerTimes  *latency.Histogram // time to the first packet of an answer
+	replyTimes   *latency.Histogram // time to the first packet of a reply
 
 	malformed atomic.Uint64 // datagrams that could not be decoded
 
 	mutex    sync.Mutex // guards everything below
 	gate     *gate.Gate
-	notified map[flow.Key]bool // lost flows recalled from controllers whose clients got a reset
+	notified map[flow.Key]bool // recalled flows that were lost and whose clients got a reset
 	stopping bool
 	buffer   []byte
 }
@@ -99,7 +99,7 @@
 // New returns an agent with open sockets.
 func New(settings Settings, codec flow.Codec, logger *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{
-		settings: settings, codec: codec, logger: logger, answerTimes: latency.New(), notified: make(map[flow.Key]bool),
+		settings: settings, codec: codec, logger: logger, replyTimes: latency.New(), notified: make(map[flow.Key]bool),
 	}
 	if err := s.listen(); err != nil {
 		return nil, errors.Join(newError("listen", KindListen, err), s.close())
@@ -107,7 +107,7 @@
 
 	s.gate = gate.New(gate.Config{
 		Service: settings.Service, Boot: time.Now(), ReportInterval: settings.ReportInterval,
-	}, s.answerTimes.Observe)
+	}, s.replyTimes.Observe)
 	s.follower = follower.New(follower.Config{
 		Conn: s.control, Boot: rand.Uint64(), Seeds: settings.Seeds, Events: events{s}, Announce: s.announce, Logger: logger,
 	})
@@ -116,7 +116,7 @@
 	return s, nil
 }
 
-// announce returns the record of the agent that controllers get.
+// announce returns the record that the agent publishes through the controllers.
 func (s *Sidecar) announce(now time.Time) roster.Record {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
