--- a/internal/program/follower/follower.go
+++ b/internal/program/follower/follower.go
@@ -35,12 +35,12 @@
 	// pollInterval allows four polls within roster.SilentAfter.
 	pollInterval = 400 * time.Millisecond
 
-	// eagerPollInterval is the interval while the instance has no document, or no
-	// source that is in touch with its group.
+	// eagerPollInterval is the poll interval while the instance has no document or
+	// no settled source.
 	eagerPollInterval = 50 * time.Millisecond
 
 	// minPollInterval is the minimum time between two polls. It limits the polls when
-	// a deployment starts and the news of many agents arrive together.
+	// a deployment starts and notifications about many agents arrive together.
 	minPollInterval = 30 * time.Millisecond
 
 	// fetchRetryInterval is how long a requested document may take to arrive before
@@ -60,7 +60,7 @@
 	// Agents is called with changes to the list of agents. If whole is set, the
 	// records are the complete list.
 	Agents(now time.Time, records []roster.Record, whole bool)
-	// Confirmed is called when a controller in touch with its group has
+	// Confirmed is called when a controller that is in contact with its group has
 	// confirmed that document and agents are current.
 	Confirmed(now time.Time)
 }
@@ -88,10 +88,10 @@
 	sequence       uint64
 	version        uint64
 	source         flow.Endpoint
-	sourceSettled  bool // the source was in touch with its group at its last answer
-	epoch          uint64
-	position       uint64
-	listComplete   bool      // the list of the source was complete when it was fetched as a whole
+	sourceSettled  bool      // at its last answer the source was in contact with its group and had a complete list
+	epoch          uint64    // of the list of agents, 0 to fetch the whole list
+	position       uint64    // of the last applied change within the epoch
+	listComplete   bool      // the source was settled when the whole list was fetched
 	sourceAnswered time.Time // last answer of the source
 	lastAnswer     time.Time // last answer of any controller
 	lastFetch      time.Time // last time a document was requested; zero once one has arrived
@@ -289,7 +289,7 @@
 }
 
 // chooseSource makes a controller the source of the list if there is none, or if
-// the controller is in touch with its group and the current source is not.
+// the controller is settled and the current source is not.
 func (f *Follower) chooseSource(now time.Time, controller flow.Endpoint, settled bool) {
 	if controller == f.source {
 		f.sourceAnswered = now
