--- a/internal/program/balancer/relay_test.go
+++ b/internal/program/balancer/relay_test.go
@@ -117,7 +117,7 @@
 						started := time.Now()
 						reply, err := renewAll(ctx, r, incarnation)
 						is.True(err != nil || len(reply.Unknown) == 0)
-						is.NoErr(ctx.Err()) // the instance learns in time to renew again
+						is.NoErr(ctx.Err()) // the reply or error arrives before the next renewal is due
 						cancel()
 						upstream.mutex.Lock()
 						last := upstream.renewed[incarnation]
