--- a/internal/state/catalog/announce.go
+++ b/internal/state/catalog/announce.go
@@ -8,19 +8,20 @@
 	"jayspindle/internal/state/view"
 )
 
-// maxZoneBytes bounds the name of an availability zone. It equals
+// maxZoneBytes limits the name of an availability zone. It equals
 // control.MaxName, which this lower layer cannot import.
 const maxZoneBytes = 63
 
-// announced reports whether the member came from this announcement or an earlier
-// copy of it.
-func (m member) announced(command Announce, service view.ServiceID) bool {
+// announcedBy reports whether the member was added by this announcement or an
+// earlier copy of it.
+func (m member) announcedBy(command Announce, service view.ServiceID) bool {
 	return m.Role == command.Role && m.Service == service && m.Zone == command.Zone &&
 		m.Data == command.Data && m.Peer == command.Peer
 }
 
-// announce adds a member. A repeated announcement gets the incarnation of the
-// first one, and a new one on a data address in use replaces its member.
+// announce adds a member. A repeated announcement returns the incarnation of the
+// first one. A new announcement for a data address in use replaces the member
+// that has the address.
 func (e *environment) announce(at entry, command Announce) (Result, bool) {
 	if err := command.check(); err != nil {
 		return refuse(KindInvalid, "%v", err), false
@@ -31,20 +32,20 @@
 		return *refusal, false
 	}
 
-	if incarnation, ok := e.boots[command.Boot]; ok {
-		if known := e.members[incarnation]; known.announced(command, service) {
-			return e.resume(known)
+	if incarnation, ok := e.byBoot[command.Boot]; ok {
+		if existing := e.members[incarnation]; existing.announcedBy(command, service) {
+			return e.resume(existing)
 		}
 
 		return refuse(KindReused, "boot ID %x belongs to another announcement", command.Boot), false
 	}
 
-	if e.ended.set[command.Boot] {
+	if e.retired.set[command.Boot] {
 		return refuse(KindSuperseded, "boot ID %x left or was replaced", command.Boot), false
 	}
 
-	replaced, replaces := e.addresses[command.Data]
-	if holder := e.members[replaced]; replaces && holder.activeElsewhere(command.Role, service) {
+	replaced, replaces := e.byAddress[command.Data]
+	if holder := e.members[replaced]; replaces && holder.conflictsWith(command.Role, service) {
 		return refuse(KindInUse, "address %s belongs to active incarnation %d of another service or role",
 			command.Data, replaced), false
 	}
@@ -58,12 +59,12 @@
 		Data: command.Data, Peer: command.Peer, Weight: view.MaxWeight, State: view.Active, Boot: command.Boot,
 	}
 
-	if e.starts.flaps(at.now, command.Data) {
+	if e.starts.detectFlapping(at.now, command.Data) {
 		added.Weight, added.Flapping = flapWeight, true
 	}
 
 	if replaces {
-		e.end(replaced)
+		e.retire(replaced)
 	}
 
 	e.nextIncarnation++
@@ -77,20 +78,21 @@
 	return result, true
 }
 
-// resume answers a repeated announcement. A member whose lease had run out
-// goes on under its incarnation, so that its flows stay reachable.
-func (e *environment) resume(known member) (Result, bool) {
-	if known.Expired == 0 {
-		return known.result(), false
+// resume answers a repeated announcement. A member whose lease had expired keeps
+// its incarnation, so that its flows stay reachable.
+func (e *environment) resume(existing member) (Result, bool) {
+	if existing.Expired == 0 {
+		return existing.result(), false
 	}
 
-	known.Expired = 0
-	e.put(known)
+	existing.Expired = 0
+	e.put(existing)
 
-	return known.result(), true
+	return existing.result(), true
 }
 
-// check refuses announcements that no instance could use.
+// check refuses announcements with an unknown role, an invalid zone, no boot ID,
+// or an address that is not a unicast IP address and port.
 func (a Announce) check() error {
 	if a.Role != RoleAgent && a.Role != RoleBalancer {
 		return fmt.Errorf("found role %q, allowed: %s, %s", a.Role, RoleAgent, RoleBalancer)
@@ -114,8 +116,8 @@
 	return nil
 }
 
-// authenticate returns the service of an agent that proved with the service
-// key that it may serve. Balancers are authenticated by their link.
+// authenticate returns the service of an agent whose announcement is signed with
+// the service key. Balancers are authenticated by their link.
 func (e *environment) authenticate(command Announce) (view.ServiceID, *Result) {
 	var refusal Result
 
@@ -146,10 +148,11 @@
 	return service.ID, nil
 }
 
-// checkCapacity refuses an announcement beyond the bounds. The member that it
+// checkCapacity refuses an announcement that would exceed the limit of its role,
+// or any announcement once all incarnations are assigned. The member that it
 // replaces is not counted.
 func (e *environment) checkCapacity(role Role, replaced view.Incarnation) *Result {
-	agents, balancers := e.agents, len(e.members)-e.agents
+	agents, balancers := e.agentCount, len(e.members)-e.agentCount
 
 	if old, ok := e.members[replaced]; ok && old.Role == RoleAgent {
 		agents--
--- a/internal/state/catalog/approve.go
+++ b/internal/state/catalog/approve.go
@@ -6,14 +6,14 @@
 	"jayspindle/internal/state/document"
 )
 
-// maxApprovals bounds the approvals that a catalog remembers without their
-// documents: more than a day has changes in one deployment.
+// maxApprovals limits the approvals that are kept without their documents. One
+// deployment has fewer changes in a day.
 const maxApprovals = 1024
 
 // Approve puts a document in force that was approved before it reached the
-// group. Only a catalog founded as Preapproved takes it. The document with the
-// highest version is in force; a command with another version is applied
-// without effect, so that a resend is always answered alike.
+// controller group. Only a catalog with Founding.Preapproved accepts it. The
+// document with the highest version is in force; a command with an equal or
+// lower version succeeds without effect, so that a resend never fails.
 type Approve struct {
 	Version  uint64 `cbor:"1,keyasint"`
 	Document []byte `cbor:"2,keyasint"` // in the format of its source
@@ -27,13 +27,13 @@
 	Time    int64    `cbor:"4,keyasint"` // Unix nanoseconds, from the leader
 }
 
-// approvals is what a catalog knows of approved documents.
+// approvals holds the approved document in force and the history of approvals.
 type approvals struct {
 	Document []byte     `cbor:"1,keyasint"` // of the last approval
 	History  []Approval `cbor:"2,keyasint"` // the last one is in force
 }
 
-// Approved returns the approved document in force, or version 0.
+// Approved returns the approved document in force, or version 0 if there is none.
 func (c *Catalog) Approved() (version uint64, approved []byte) {
 	if c.approvals == nil || len(c.approvals.History) == 0 {
 		return 0, nil
@@ -42,7 +42,7 @@
 	return c.approvals.History[len(c.approvals.History)-1].Version, c.approvals.Document
 }
 
-// Approvals returns the approvals of documents that were in force, oldest
+// Approvals returns the approvals of all documents that were put in force, oldest
 // first. At most 1,024 are kept.
 func (c *Catalog) Approvals() []Approval {
 	if c.approvals == nil {
@@ -52,16 +52,16 @@
 	return c.approvals.History
 }
 
-// approve applies an Approve. The result tells the version in force.
+// approve applies an Approve. The result carries the version in force.
 func (c *Catalog) approve(at entry, command Approve) (Result, bool) {
 	if c.approvals == nil {
 		return refuse(KindInvalid, "documents of this group need the signatures of its owners"), false
 	}
 
-	held, _ := c.Approved()
+	current, _ := c.Approved()
 
-	result := Result{Index: at.index, Version: max(held, command.Version), Status: Accepted}
-	if command.Version <= held {
+	result := Result{Index: at.index, Version: max(current, command.Version), Status: Accepted}
+	if command.Version <= current {
 		return result, false
 	}
 
@@ -77,20 +77,20 @@
 	return result, true
 }
 
-// dispatchDocument applies a command about documents and owners. The last
-// result is false for other commands.
-func (c *Catalog) dispatchDocument(at entry, command Command) (result Result, changed, known bool) {
+// dispatchDocument applies a command about documents or owners. It returns false
+// for handled if the command is about something else.
+func (c *Catalog) dispatchDocument(at entry, command Command) (result Result, changed, handled bool) {
 	if command.Approve != nil {
 		result, changed = c.approve(at, *command.Approve)
 
 		return result, changed, true
 	}
 
-	signed := command.Submit != nil || command.Promote != nil || command.ReplaceOwner != nil ||
+	needsOwners := command.Submit != nil || command.Promote != nil || command.ReplaceOwner != nil ||
 		command.Sign != nil || command.Reject != nil
 
 	switch {
-	case !signed:
+	case !needsOwners:
 		return Result{}, false, false
 	case c.approvals != nil:
 		return refuse(KindOwner, "this group has no owners: its documents are approved before they arrive"), false, true
--- a/internal/state/catalog/bench_test.go
+++ b/internal/state/catalog/bench_test.go
@@ -14,25 +14,25 @@
 	targetAgents   = 26_000
 )
 
-// atTargetSize returns a log with 6,700 services, 26,000 agents and the given
-// number of versions.
-func atTargetSize(b *testing.B, versions int) *log {
+// newTargetSizeLog returns a log whose catalog has 6,700 services, 26,000 agents
+// and the given number of versions.
+func newTargetSizeLog(b *testing.B, versions int) *commandLog {
 	b.Helper()
 
-	l := newLog(b)
+	l := newCommandLog(b)
 	for version := range versions {
-		l.accept(Trial, yamlOf(targetServices, fmt.Sprintf("version %d", version)))
+		l.mustAccept(Trial, newDocument(targetServices, fmt.Sprintf("version %d", version)))
 	}
 
 	for i := range targetAgents {
-		l.ok(announceOf(fmt.Sprintf("s%d", i%targetServices), i, uint64(i)))
+		l.mustApply(announceCommand(fmt.Sprintf("s%d", i%targetServices), i, uint64(i)))
 	}
 
 	return l
 }
 
 func BenchmarkViewAfterOneChange(b *testing.B) {
-	l := atTargetSize(b, 1)
+	l := newTargetSizeLog(b, 1)
 	l.state.View(Trial)
 	b.ReportAllocs()
 
@@ -45,7 +45,7 @@
 }
 
 func BenchmarkApplySetWeight(b *testing.B) {
-	l := atTargetSize(b, 1)
+	l := newTargetSizeLog(b, 1)
 	commands := [2][]byte{}
 	for i := range commands {
 		commands[i] = l.encode(Command{SetWeight: &SetWeight{Environment: Trial, Incarnation: 12_000, Weight: uint8(i)}})
@@ -58,13 +58,13 @@
 }
 
 func BenchmarkApplyAnnounce(b *testing.B) {
-	l := atTargetSize(b, 1)
+	l := newTargetSizeLog(b, 1)
 	number := uint64(targetAgents)
 
 	for b.Loop() {
 		b.StopTimer()
 		number++
-		encoded := l.encode(announceOf("s7", int(number%targetAgents), number))
+		encoded := l.encode(announceCommand("s7", int(number%targetAgents), number))
 		l.index++
 		b.StartTimer()
 		l.state.Apply(l.index, encoded)
@@ -72,30 +72,30 @@
 }
 
 func BenchmarkAcceptDocument(b *testing.B) {
-	l := atTargetSize(b, 1)
+	l := newTargetSizeLog(b, 1)
 	version := 0
 
 	for b.Loop() {
 		version++
-		l.accept(Trial, yamlOf(targetServices, fmt.Sprintf("change %d", version)))
+		l.mustAccept(Trial, newDocument(targetServices, fmt.Sprintf("change %d", version)))
 		l.state.View(Trial)
 	}
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	l := atTargetSize(b, 256)
-	encoded := snapshotOf(b, l.state)
+	l := newTargetSizeLog(b, 256)
+	encoded := takeSnapshot(b, l.state)
 
 	b.Run("encode", func(b *testing.B) {
 		for b.Loop() {
-			snapshotOf(b, l.state)
+			takeSnapshot(b, l.state)
 		}
 
 		b.ReportMetric(float64(len(encoded)), "bytes")
 	})
 
 	b.Run("restore", func(b *testing.B) {
-		state := founded(b)
+		state := newCatalog(b)
 		for b.Loop() {
 			is.New(b).NoErr(state.Restore(encoded))
 		}
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -44,12 +44,13 @@
 	Key  ed25519.PublicKey `cbor:"2,keyasint" json:"key"`
 }
 
-// Founding is what is fixed when the controller group is created.
+// Founding holds the parameters that are fixed when the controller group is
+// created.
 type Founding struct {
 	Cluster    [16]byte // random ID of the group
-	Generation uint64   // rises when the group is re-formed
+	Generation uint64   // increases when the group is re-formed
 	Owners     [2]Owner
-	// Preapproved founds a group without owners, whose documents are approved
+	// Preapproved creates a group without owners, whose documents are approved
 	// before they reach it.
 	Preapproved bool
 }
@@ -64,18 +65,17 @@
 	environments map[string]*environment
 	answers      answers
 	approvals    *approvals        // nil in a group with owners
-	parsed       [2]parsedDocument // the last two, the later one first
+	parsed       [2]parsedDocument // the last two, newest first
 }
 
-// parsedDocument caches the services of a document. It has no influence on
-// results.
+// parsedDocument caches the services of a document. It does not affect results.
 type parsedDocument struct {
 	digest   [32]byte
 	services []view.Service
 }
 
-// New returns the state of a new controller group. It refuses owners without
-// a name or key and owners that are not different, with KindInvalid.
+// New returns the state of a new controller group. It refuses owners without a
+// name or key, and owners with the same name or key, with KindInvalid.
 func New(founding Founding) (*Catalog, error) {
 	if err := checkOwners(founding.Owners); err != nil && !founding.Preapproved {
 		return nil, newError("new", KindInvalid, err)
@@ -124,15 +124,15 @@
 	return nil
 }
 
-// entry is what a command knows about its log entry.
+// entry holds the index and the time of the log entry that is being applied.
 type entry struct {
 	index uint64
 	now   int64 // Unix nanoseconds, from the leader
 }
 
-// Apply applies one log entry. Indexes must rise.
+// Apply applies one log entry. Indexes must increase.
 func (c *Catalog) Apply(index uint64, command []byte) Result {
-	invariant.Assert(index > c.index, "catalog: the index of entries rises",
+	invariant.Assert(index > c.index, "catalog: the index of log entries increases",
 		slog.Uint64("index", index), slog.Uint64("applied", c.index))
 
 	decoded, err := decodeCommand(command)
@@ -150,7 +150,7 @@
 
 // dispatch returns the result and whether the state changed.
 func (c *Catalog) dispatch(at entry, command Command) (Result, bool) {
-	if result, changed, known := c.dispatchDocument(at, command); known {
+	if result, changed, handled := c.dispatchDocument(at, command); handled {
 		return result, changed
 	}
 
@@ -201,7 +201,7 @@
 	}
 }
 
-// View returns the current view of an environment, nil if there is no such
+// View returns the current view of an environment, or nil if there is no such
 // environment.
 func (c *Catalog) View(environment string) *view.View {
 	env, ok := c.environments[environment]
@@ -212,7 +212,7 @@
 	ledger := c.ledgers[environment]
 	digest := [32]byte{}
 
-	if latest := ledger.accepted(ledger.version); latest != nil {
+	if latest := ledger.acceptedByVersion(ledger.version); latest != nil {
 		digest = latest.Digest
 	}
 
@@ -285,7 +285,7 @@
 		return Record{}, false
 	}
 
-	return recordOf(environment, ledger.accepted(version))
+	return recordOf(environment, ledger.acceptedByVersion(version))
 }
 
 // recordOf returns the record of a change, and false if the change is nil.
--- a/internal/state/catalog/change_test.go
+++ b/internal/state/catalog/change_test.go
@@ -11,33 +11,33 @@
 )
 
 // Guards against a change that one owner alone puts in force, and against a
-// signature that counts for anything but its own change.
+// signature that is accepted for another change, owner or decision.
 func TestTwoOwnersAccept(t *testing.T) {
-	l := newLog(t)
-	data, other := yamlOf(2, "first"), yamlOf(2, "other")
+	l := newCommandLog(t)
+	data, other := newDocument(2, "first"), newDocument(2, "other")
 	digest := document.Digest(data)
-	l.ok(submitOf(Trial, 0, "c1", data))
+	l.mustApply(submitCommand(Trial, 0, "c1", data))
 
-	swapped := signOf("ann", Trial, 1, digest)
+	swapped := signCommand("ann", Trial, 1, digest)
 	swapped.Sign.Owner = "bob"
-	rejection := signOf("ann", Trial, 1, digest)
+	rejection := signCommand("ann", Trial, 1, digest)
 	rejection.Sign.Signature = document.Sign(keys["ann"], Trial, 1, digest, document.Reject)
-	stranger := signOf("ann", Trial, 1, digest)
+	stranger := signCommand("ann", Trial, 1, digest)
 	stranger.Sign.Owner = "eve"
 
-	l.refused(KindSignature, swapped)
-	l.refused(KindSignature, rejection)
-	l.refused(KindOwner, stranger)
-	l.refused(KindNotPending, signOf("ann", Trial, 2, digest))
-	l.refused(KindNotPending, signOf("ann", Production, 1, digest))
-	l.refused(KindNotPending, signOf("ann", Trial, 1, document.Digest(other)))
+	l.mustRefuse(KindSignature, swapped)
+	l.mustRefuse(KindSignature, rejection)
+	l.mustRefuse(KindOwner, stranger)
+	l.mustRefuse(KindNotPending, signCommand("ann", Trial, 2, digest))
+	l.mustRefuse(KindNotPending, signCommand("ann", Production, 1, digest))
+	l.mustRefuse(KindNotPending, signCommand("ann", Trial, 1, document.Digest(other)))
 
 	is := is.New(t)
-	is.Equal(l.ok(signOf("ann", Trial, 1, digest)).Status, Pending)
-	is.Equal(l.ok(signOf("ann", Trial, 1, digest)).Status, Pending) // one owner twice is one owner
+	is.Equal(l.mustApply(signCommand("ann", Trial, 1, digest)).Status, Pending)
+	is.Equal(l.mustApply(signCommand("ann", Trial, 1, digest)).Status, Pending) // the same owner again
 	is.Equal(l.state.Version(Trial), uint64(0))
-	is.Equal(l.ok(signOf("bob", Trial, 1, digest)).Status, Accepted)
-	is.Equal(l.ok(signOf("ann", Trial, 1, digest)).Status, Accepted) // resend after the acceptance
+	is.Equal(l.mustApply(signCommand("bob", Trial, 1, digest)).Status, Accepted)
+	is.Equal(l.mustApply(signCommand("ann", Trial, 1, digest)).Status, Accepted) // resend after the acceptance
 	is.Equal(len(assertView(t, l.state, Trial).Services()), 2)
 
 	record, ok := l.state.Explain(Trial, "c1")
@@ -46,145 +46,147 @@
 	is.Equal(len(record.Signatures), 2)
 }
 
-// Guards against two racing changes both coming into force, and against a
-// resend that gets another answer than the first one.
+// Guards against two conflicting changes that both come into force, and against a
+// resend that gets a different answer from the first submission.
 func TestRaces(t *testing.T) {
-	l := newLog(t)
+	l := newCommandLog(t)
 	is := is.New(t)
-	one, two := yamlOf(1, "one"), yamlOf(1, "two")
+	one, two := newDocument(1, "one"), newDocument(1, "two")
 
-	first := l.ok(submitOf(Trial, 0, "c1", one))
-	lost := l.apply(submitOf(Trial, 0, "c2", two))
+	first := l.mustApply(submitCommand(Trial, 0, "c1", one))
+	lost := l.apply(submitCommand(Trial, 0, "c2", two))
 	is.Equal(lost.Kind, KindConflict)
 	is.Equal(lost.Winner.ChangeID, "c1")
 	is.Equal(lost.Winner.Status, Pending)
 
-	l.refused(KindReused, submitOf(Trial, 0, "c1", two))
-	l.ok(rejectOf("bob", Trial, 1, document.Digest(one)))
+	l.mustRefuse(KindReused, submitCommand(Trial, 0, "c1", two))
+	l.mustApply(rejectCommand("bob", Trial, 1, document.Digest(one)))
 
-	l.state = restored(t, snapshotOf(t, l.state))
-	is.Equal(l.apply(submitOf(Trial, 0, "c1", one)), first) // first answer after a restart
-	is.Equal(l.apply(submitOf(Trial, 0, "c2", two)), lost)  // although nothing is pending now
+	l.state = restoreCatalog(t, takeSnapshot(t, l.state))
+	is.Equal(l.apply(submitCommand(Trial, 0, "c1", one)), first) // the same answer after a restore
+	is.Equal(l.apply(submitCommand(Trial, 0, "c2", two)), lost)  // although nothing is pending now
 
-	l.accept(Trial, two)
-	late := l.apply(submitOf(Trial, 0, "c3", one))
+	l.mustAccept(Trial, two)
+	late := l.apply(submitCommand(Trial, 0, "c3", one))
 	is.Equal(late.Winner.Digest, document.Digest(two))
 	is.Equal(late.Winner.Status, Accepted)
 }
 
-// Guards against a signature given before a rejection that accepts the same
-// bytes when they are submitted again.
+// Guards against a signature made before a rejection that becomes valid again when
+// the same bytes are resubmitted.
 func TestRejectedBytes(t *testing.T) {
-	l := newLog(t)
-	data := yamlOf(1, "one")
+	l := newCommandLog(t)
+	data := newDocument(1, "one")
 	digest := document.Digest(data)
 
-	l.ok(submitOf(Trial, 0, "c1", data))
-	l.ok(signOf("ann", Trial, 1, digest))
-	is.New(t).Equal(l.ok(rejectOf("ann", Trial, 1, digest)).Status, Rejected)
-	is.New(t).Equal(l.ok(rejectOf("ann", Trial, 1, digest)).Status, Rejected) // resend
-	l.refused(KindRejected, submitOf(Trial, 0, "c2", data))
-	l.refused(KindNotPending, signOf("bob", Trial, 1, digest))
+	l.mustApply(submitCommand(Trial, 0, "c1", data))
+	l.mustApply(signCommand("ann", Trial, 1, digest))
+	is.New(t).Equal(l.mustApply(rejectCommand("ann", Trial, 1, digest)).Status, Rejected)
+	is.New(t).Equal(l.mustApply(rejectCommand("ann", Trial, 1, digest)).Status, Rejected) // resend
+	l.mustRefuse(KindRejected, submitCommand(Trial, 0, "c2", data))
+	l.mustRefuse(KindNotPending, signCommand("bob", Trial, 1, digest))
 }
 
 // Guards against bytes in production that were never accepted in trial.
 func TestPromotion(t *testing.T) {
-	l := newLog(t)
+	l := newCommandLog(t)
 	is := is.New(t)
-	data := yamlOf(3, "one")
+	data := newDocument(3, "one")
 	digest := document.Digest(data)
 	promote := Command{Promote: &Promote{ChangeID: "p1", Author: "bob", Digest: digest}}
 
-	l.refused(KindNotInTrial, promote)
-	l.refused(KindNotInTrial, submitOf(Production, 0, "p2", data))
-	l.ok(submitOf(Trial, 0, "c1", data))
-	l.refused(KindNotInTrial, promote) // pending is not accepted
-	l.ok(signOf("ann", Trial, 1, digest))
-	l.ok(signOf("bob", Trial, 1, digest))
+	l.mustRefuse(KindNotInTrial, promote)
+	l.mustRefuse(KindNotInTrial, submitCommand(Production, 0, "p2", data))
+	l.mustApply(submitCommand(Trial, 0, "c1", data))
+	l.mustRefuse(KindNotInTrial, promote) // still pending in trial
+	l.mustApply(signCommand("ann", Trial, 1, digest))
+	l.mustApply(signCommand("bob", Trial, 1, digest))
 
-	is.Equal(l.ok(promote).Status, Pending)
-	l.refused(KindSignature, Command{Sign: &Sign{ // the signature for trial
+	is.Equal(l.mustApply(promote).Status, Pending)
+	l.mustRefuse(KindSignature, Command{Sign: &Sign{ // the signature for trial
 		Environment: Production, Version: 1, Digest: digest, Owner: "ann",
 		Signature: document.Sign(keys["ann"], Trial, 1, digest, document.Accept),
 	}})
-	l.ok(signOf("ann", Production, 1, digest))
-	l.ok(signOf("bob", Production, 1, digest))
+	l.mustApply(signCommand("ann", Production, 1, digest))
+	l.mustApply(signCommand("bob", Production, 1, digest))
 	is.Equal(assertView(t, l.state, Production).DocumentDigest(), digest)
 }
 
-// Guards against service IDs that move, come back or change their buckets.
+// Guards against services that change their ID or bucket count, and against the
+// reuse of an ID.
 func TestServices(t *testing.T) {
-	l := newLog(t)
+	l := newCommandLog(t)
 	is := is.New(t)
 
-	l.accept(Trial, yamlOf(2, "one"))
-	l.ok(announceOf("s0", 1, 1))
-	l.ok(announceOf("s1", 2, 2))
+	l.mustAccept(Trial, newDocument(2, "one"))
+	l.mustApply(announceCommand("s0", 1, 1))
+	l.mustApply(announceCommand("s1", 2, 2))
 	old, _ := l.state.View(Trial).ServiceByName("s1")
 
-	l.accept(Trial, yamlOf(1, "without s1"))
+	l.mustAccept(Trial, newDocument(1, "without s1"))
 	is.Equal(len(assertView(t, l.state, Trial).Agents()), 1) // the agent of s1 left
-	l.refused(KindUnknownService, announceOf("s1", 2, 3))
+	l.mustRefuse(KindUnknownService, announceCommand("s1", 2, 3))
 
-	l.accept(Trial, yamlOf(2, "with s1"))
+	l.mustAccept(Trial, newDocument(2, "with s1"))
 	again, _ := l.state.View(Trial).ServiceByName("s1")
 	is.True(again.ID > old.ID) // an ID is never reused
 
-	l.refused(KindInvalid, submitOf(Trial, 3, "b", replaceOnce(yamlOf(2, "x"), "slots: 3", "slots: 3, buckets: 64")))
-	l.refused(KindInvalid, submitOf(Trial, 3, "s", replaceOnce(yamlOf(2, "x"), "slots: 3", "slots: 0")))
-	l.refused(KindOwner, Command{Submit: &Submit{Environment: Trial, Base: 3, ChangeID: "e", Author: "eve"}})
+	l.mustRefuse(KindInvalid,
+		submitCommand(Trial, 3, "b", replaceOnce(newDocument(2, "x"), "slots: 3", "slots: 3, buckets: 64")))
+	l.mustRefuse(KindInvalid, submitCommand(Trial, 3, "s", replaceOnce(newDocument(2, "x"), "slots: 3", "slots: 0")))
+	l.mustRefuse(KindOwner, Command{Submit: &Submit{Environment: Trial, Base: 3, ChangeID: "e", Author: "eve"}})
 }
 
-// Guards against an owner who is replaced without his old key's signature,
+// Guards against the replacement of an owner without a signature of the old key,
 // and against signatures of a replaced key that still count.
 func TestReplaceOwner(t *testing.T) {
-	l := newLog(t)
+	l := newCommandLog(t)
 	is := is.New(t)
-	data := yamlOf(1, "one")
-	l.ok(submitOf(Trial, 0, "c1", data))
-	l.ok(signOf("ann", Trial, 1, document.Digest(data)))
+	data := newDocument(1, "one")
+	l.mustApply(submitCommand(Trial, 0, "c1", data))
+	l.mustApply(signCommand("ann", Trial, 1, document.Digest(data)))
 
-	next := Owner{Name: "ann", Key: public(3)}
+	next := Owner{Name: "ann", Key: publicKey(3)}
 	digest := OwnerDigest([16]byte{}, "ann", next)
-	l.refused(KindInvalid, Command{ReplaceOwner: &ReplaceOwner{ // both owners with one key
-		ChangeID: "o0", Author: "bob", Owner: "ann", NewName: "ann", NewKey: public(2),
+	l.mustRefuse(KindInvalid, Command{ReplaceOwner: &ReplaceOwner{ // both owners would have the same key
+		ChangeID: "o0", Author: "bob", Owner: "ann", NewName: "ann", NewKey: publicKey(2),
 	}})
-	l.ok(Command{ReplaceOwner: &ReplaceOwner{
+	l.mustApply(Command{ReplaceOwner: &ReplaceOwner{
 		ChangeID: "o1", Author: "bob", Owner: "ann", NewName: "ann", NewKey: next.Key,
 	}})
-	l.ok(signOf("bob", Owners, 1, digest))
+	l.mustApply(signCommand("bob", Owners, 1, digest))
 
-	withNewKey := signOf("ann", Owners, 1, digest)
-	withNewKey.Sign.Signature = document.Sign(private(3), Owners, 1, digest, document.Accept)
-	l.refused(KindSignature, withNewKey)
-	is.Equal(l.state.CurrentOwners()[0].Key, public(1)) // bob alone changes nothing
-	is.Equal(l.ok(signOf("ann", Owners, 1, digest)).Status, Accepted)
+	withNewKey := signCommand("ann", Owners, 1, digest)
+	withNewKey.Sign.Signature = document.Sign(privateKey(3), Owners, 1, digest, document.Accept)
+	l.mustRefuse(KindSignature, withNewKey)
+	is.Equal(l.state.CurrentOwners()[0].Key, publicKey(1)) // bob alone changes nothing
+	is.Equal(l.mustApply(signCommand("ann", Owners, 1, digest)).Status, Accepted)
 	is.Equal(l.state.CurrentOwners()[0].Key, next.Key)
 	assertView(t, l.state, Trial)
 
-	is.Equal(l.ok(signOf("bob", Trial, 1, document.Digest(data))).Status, Pending) // ann's old signature is void
-	l.refused(KindSignature, signOf("ann", Trial, 1, document.Digest(data)))
+	is.Equal(l.mustApply(signCommand("bob", Trial, 1, document.Digest(data))).Status, Pending) // ann's was removed
+	l.mustRefuse(KindSignature, signCommand("ann", Trial, 1, document.Digest(data)))
 }
 
-// Guards against unbounded history, and against a bound that drops versions
-// which can still be promoted.
+// Guards against unbounded history, and against a limit that drops documents that
+// can still be promoted.
 func TestHistoryBound(t *testing.T) {
-	l := newLog(t)
+	l := newCommandLog(t)
 	is := is.New(t)
 
-	for i := range keptDocuments + 3 {
-		l.accept(Trial, yamlOf(1, fmt.Sprint(i)))
+	for i := range maxKeptDocuments + 3 {
+		l.mustAccept(Trial, newDocument(1, fmt.Sprint(i)))
 	}
 
 	history := l.state.History(Trial, 1000)
-	is.Equal(len(history), keptDocuments+3)
-	is.Equal(history[0].Version, uint64(keptDocuments+3))
+	is.Equal(len(history), maxKeptDocuments+3)
+	is.Equal(history[0].Version, uint64(maxKeptDocuments+3))
 
 	forgotten, _ := l.state.ExplainVersion(Trial, 3)
 	kept, _ := l.state.ExplainVersion(Trial, 4)
 	is.Equal(forgotten.Document, nil)
 	is.Equal(forgotten.Author, "ann")
-	is.Equal(kept.Document, yamlOf(1, "3"))
-	is.Equal(ed25519.Verify(public(1), document.SignedText(Trial, 3, forgotten.Digest, document.Accept),
+	is.Equal(kept.Document, newDocument(1, "3"))
+	is.Equal(ed25519.Verify(publicKey(1), document.SignedText(Trial, 3, forgotten.Digest, document.Accept),
 		forgotten.Signatures[0].Signature), true)
 }
--- a/internal/state/catalog/chunk.go
+++ b/internal/state/catalog/chunk.go
@@ -7,29 +7,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Documents are stored as chunks that consecutive versions share: 256
-// versions of a document of 1 MiB would take 256 MiB each otherwise. Chunks
-// end at lines whose hash is a multiple of chunkLines (content-defined
+// Documents are stored as chunks that consecutive versions share. Otherwise the
+// 256 kept versions of a 1 MiB document would take 256 MiB for each environment.
+// Chunks end at lines whose hash is a multiple of meanChunkLines (content-defined
 // chunking as in Muthitacharoen, Chen, Mazières, "A Low-bandwidth Network
 // File System", SOSP 2001), so an inserted line changes one chunk only.
 const (
-	chunkLines    = 16 // mean number of lines in a chunk, before the bounds in bytes
-	minChunkBytes = 512
-	maxChunkBytes = 8 << 10
+	meanChunkLines = 16 // before the limits in bytes apply
+	minChunkBytes  = 512
+	maxChunkBytes  = 8 << 10
 )
 
 type chunk struct{ data string }
 
-// text is the content of a document.
+// text is the content of a document, as chunks that it can share with others.
 type text []*chunk
 
-// splitChunks returns data as chunks, and uses the chunks of earlier texts again.
+// splitChunks returns data as chunks. It reuses the chunks of earlier texts.
 func splitChunks(data []byte, earlier ...text) text {
-	known := make(map[string]*chunk)
+	reusable := make(map[string]*chunk)
 
 	for _, t := range earlier {
 		for _, c := range t {
-			known[c.data] = c
+			reusable[c.data] = c
 		}
 	}
 
@@ -38,10 +38,10 @@
 	for len(data) > 0 {
 		size := chunkSize(data)
 
-		c, ok := known[string(data[:size])]
+		c, ok := reusable[string(data[:size])]
 		if !ok {
 			c = &chunk{data: string(data[:size])}
-			known[c.data] = c
+			reusable[c.data] = c
 		}
 
 		chunks = append(chunks, c)
@@ -59,7 +59,7 @@
 			line = len(data) - size
 		}
 
-		boundary := xxhash.Sum64(data[size:size+line])%chunkLines == 0
+		boundary := xxhash.Sum64(data[size:size+line])%meanChunkLines == 0
 		size += line
 
 		if boundary && size >= minChunkBytes {
--- a/internal/state/catalog/command.go
+++ b/internal/state/catalog/command.go
@@ -34,7 +34,7 @@
 }
 
 // Submit makes a document pending as version Base+1. A resend with the same
-// change ID gets the first answer.
+// change ID returns the result of the first submission.
 type Submit struct {
 	Environment string `cbor:"1,keyasint"`
 	Base        uint64 `cbor:"2,keyasint"` // version in force that the author saw
@@ -71,9 +71,9 @@
 	Digest   [32]byte `cbor:"5,keyasint"` // of the document accepted in trial
 }
 
-// ReplaceOwner makes the replacement of an owner's name and key pending. Both
-// owners sign it, with Sign for the environment Owners, and the one to be
-// replaced signs with the old key.
+// ReplaceOwner proposes to replace the name and key of an owner. Both owners
+// accept it with a Sign for the environment Owners; the owner to be replaced
+// signs with the old key.
 type ReplaceOwner struct {
 	Base     uint64            `cbor:"1,keyasint"` // version of the owners in force
 	ChangeID string            `cbor:"2,keyasint"`
@@ -84,7 +84,7 @@
 	NewKey   ed25519.PublicKey `cbor:"7,keyasint"`
 }
 
-// Role is what an announced member does.
+// Role is the function of a member.
 type Role string
 
 // The roles of members.
@@ -93,10 +93,10 @@
 	RoleBalancer Role = "balancer"
 )
 
-// BootID is random and new for each start of a process.
+// BootID identifies one run of a process. It is chosen at random at each start.
 type BootID [16]byte
 
-// Announce adds an agent or a balancer. A resend with the same boot ID gets
+// Announce adds an agent or a balancer. A resend with the same boot ID returns
 // the same incarnation.
 type Announce struct {
 	Environment string         `cbor:"1,keyasint"`
@@ -115,7 +115,7 @@
 		a.Environment, a.Role, a.Service, a.Zone, a.Data, a.Peer, a.Boot)
 }
 
-// Phase is how far a leave has come.
+// Phase is a step of a planned leave.
 type Phase string
 
 // The phases of a leave.
@@ -124,14 +124,14 @@
 	PhaseGone     Phase = "gone"     // removed from the view
 )
 
-// Leave starts or ends the planned stop of a member.
+// Leave drains a member that is about to stop, or removes it.
 type Leave struct {
 	Environment string           `cbor:"1,keyasint"`
 	Incarnation view.Incarnation `cbor:"2,keyasint"`
 	Phase       Phase            `cbor:"3,keyasint"`
 }
 
-// Expire suspends members whose leases ran out. They keep their incarnation if
+// Expire suspends members whose leases have expired. They keep their incarnation if
 // they announce again with the same boot ID.
 type Expire struct {
 	Environment  string             `cbor:"1,keyasint"`
@@ -145,16 +145,16 @@
 	Weight      uint8            `cbor:"3,keyasint"` // 0 to view.MaxWeight
 }
 
-// RotateKey makes a new fabric key the newest. A view keeps the newest keptKeys
-// of them.
+// RotateKey adds a fabric key as the newest one. A view holds the newest maxKeys
+// keys.
 type RotateKey struct {
 	Environment string   `cbor:"1,keyasint"`
 	Rotation    uint64   `cbor:"2,keyasint"` // rotations so far, so that a resend does not rotate twice
 	Secret      [32]byte `cbor:"3,keyasint"`
 }
 
-// Encode returns the bytes of a log entry with the time that the leader
-// stamps. Format is filled in.
+// Encode returns the command as a log entry, stamped with the leader's time. It
+// sets Format.
 func (c Command) Encode(now time.Time) ([]byte, error) {
 	c.Format = Format
 	c.Time = now.UnixNano()
@@ -206,8 +206,8 @@
 	return count
 }
 
-// canonical encodes equal values to equal bytes. An empty list has one form,
-// because a list that became empty is nil after a restore.
+// canonical encodes equal values to equal bytes. It encodes nil and empty lists
+// alike, because a list that became empty is nil after a restore.
 var canonical = func() cbor.EncMode {
 	options := cbor.CoreDetEncOptions()
 	options.NilContainers = cbor.NilContainerAsEmpty
@@ -220,8 +220,8 @@
 	return mode
 }()
 
-// strict refuses duplicate keys and unknown fields, so that two replicas of
-// different releases cannot read one entry differently.
+// strict refuses duplicate keys and unknown fields, so that replicas of different
+// releases cannot decode an entry differently.
 var strict = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
--- a/internal/state/catalog/decide.go
+++ b/internal/state/catalog/decide.go
@@ -14,8 +14,8 @@
 	return strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
 }
 
-// decide applies an owner's signature to the pending change. Two acceptances
-// accept it; one rejection ends it.
+// decide applies an owner's signature to the pending change. Two acceptances put
+// the change in force; one rejection discards it.
 func (c *Catalog) decide(at entry, command Sign, decision document.Decision) (Result, bool) {
 	ledger, ok := c.ledgers[command.Environment]
 	if !ok {
@@ -23,8 +23,8 @@
 			command.Environment, Trial, Production, Owners), false
 	}
 
-	if held := ledger.decided(command, decision); held != nil {
-		return ledger.status(held), false
+	if found := ledger.findSigned(command, decision); found != nil {
+		return ledger.status(found), false
 	}
 
 	pending := ledger.pending
@@ -68,27 +68,27 @@
 	return ledger.status(pending), true
 }
 
-// decided returns the change that already has the signature of a command that
-// is sent again.
-func (l *ledger) decided(command Sign, decision document.Decision) *change {
+// findSigned returns the change that already has the signature of the command, or
+// nil if the command is not a resend.
+func (l *ledger) findSigned(command Sign, decision document.Decision) *change {
 	match := func(c *change) bool {
 		return c.Version == command.Version && c.Digest == command.Digest &&
-			c.holds(command.Owner, decision, command.Signature)
+			c.hasSignature(command.Owner, decision, command.Signature)
 	}
 
 	if l.pending != nil && match(l.pending) {
 		return l.pending
 	}
 
-	return l.last(match)
+	return l.findLast(match)
 }
 
 // accept puts the pending change in force.
 func (c *Catalog) accept(at entry, ledger *ledger) {
 	c.assertAcceptable(ledger)
 
-	done := ledger.conclude(Accepted, at.now)
-	data := done.text.bytes()
+	accepted := ledger.conclude(Accepted, at.now)
+	data := accepted.text.bytes()
 
 	if ledger.name == Owners {
 		c.acceptOwners(data)
@@ -96,14 +96,15 @@
 		return
 	}
 
-	services, err := c.parse(data, done.Digest)
+	services, err := c.parse(data, accepted.Digest)
 	invariant.Assert(err == nil, "catalog: a pending document is valid", slog.Any("error", err))
 
 	c.environments[ledger.name].setServices(services)
 	c.environments[ledger.name].index = at.index
 }
 
-// assertAcceptable checks what no accepted change may lack.
+// assertAcceptable asserts that the pending change meets every condition for
+// acceptance.
 func (c *Catalog) assertAcceptable(ledger *ledger) {
 	pending := ledger.pending
 	signatures := pending.Signatures
@@ -113,20 +114,20 @@
 		"catalog: an acceptance has the signatures of two owners", slog.String("change", pending.ID))
 
 	for _, signature := range signatures {
-		invariant.Assert(c.signed(ledger, signature),
+		invariant.Assert(c.isValidAcceptance(ledger, signature),
 			"catalog: an acceptance has two valid signatures", slog.String("owner", signature.Owner))
 	}
 
-	invariant.Assert(pending.Version == ledger.version+1 && ledger.accepted(pending.Version) == nil,
+	invariant.Assert(pending.Version == ledger.version+1 && ledger.acceptedByVersion(pending.Version) == nil,
 		"catalog: an accepted version never changes", slog.Uint64("version", pending.Version))
 
 	invariant.Assert(document.Digest(pending.text.bytes()) == pending.Digest,
 		"catalog: the bytes of a change have its digest", slog.String("change", pending.ID))
 }
 
-// signed reports whether an owner in force accepts the pending change with the
-// signature.
-func (c *Catalog) signed(ledger *ledger, signature Signature) bool {
+// isValidAcceptance reports whether the signature is a valid acceptance of the
+// pending change by a current owner.
+func (c *Catalog) isValidAcceptance(ledger *ledger, signature Signature) bool {
 	i, ok := c.owner(signature.Owner)
 
 	return ok && signature.Decision == document.Accept && bytes.Equal(c.owners[i].Key, signature.Key) &&
@@ -134,8 +135,8 @@
 			signature.Decision, signature.Signature)
 }
 
-// acceptOwners replaces an owner. Signatures that the replaced key gave to
-// pending changes are void.
+// acceptOwners replaces an owner and removes the signatures of the replaced key
+// from pending changes.
 func (c *Catalog) acceptOwners(replacement []byte) {
 	next, err := c.ownersAfter(replacement)
 	invariant.Assert(err == nil, "catalog: a pending replacement of an owner is valid", slog.Any("error", err))
--- a/internal/state/catalog/environment.go
+++ b/internal/state/catalog/environment.go
@@ -15,24 +15,24 @@
 type environment struct {
 	name            string
 	index           uint64         // of the last entry that changed the view
-	nextService     uint32         // not assigned so far
-	nextIncarnation uint32         // not assigned so far
+	nextServiceID   uint32         // next ID to assign
+	nextIncarnation uint32         // next incarnation to assign
 	services        []view.Service // by ID
-	byName          map[string]int // places in services
+	byName          map[string]int // indexes into services
 	members         map[view.Incarnation]member
-	boots           map[BootID]view.Incarnation
-	addresses       map[netip.AddrPort]view.Incarnation // by data address
-	agents          int
-	ended           ended
+	byBoot          map[BootID]view.Incarnation
+	byAddress       map[netip.AddrPort]view.Incarnation // by data address
+	agentCount      int
+	retired         retiredBoots
 	starts          starts
 	keys            []view.Key // newest first
 	rotations       uint64
 
-	current  *view.View // nil: no view was built since the start or a restore
+	current  *view.View // nil until the first view after a start or restore
 	affected affected
 }
 
-// affected lists what differs from the current view.
+// affected lists what has changed since the current view was built.
 type affected struct {
 	services map[view.ServiceID]bool
 	members  map[view.Incarnation]bool
@@ -42,12 +42,12 @@
 func newEnvironment(name string) *environment {
 	return &environment{
 		name:            name,
-		nextService:     1,
+		nextServiceID:   1,
 		nextIncarnation: 1,
 		members:         map[view.Incarnation]member{},
-		boots:           map[BootID]view.Incarnation{},
-		addresses:       map[netip.AddrPort]view.Incarnation{},
-		ended:           ended{set: map[BootID]bool{}},
+		byBoot:          map[BootID]view.Incarnation{},
+		byAddress:       map[netip.AddrPort]view.Incarnation{},
+		retired:         retiredBoots{set: map[BootID]bool{}},
 		starts:          starts{byData: map[netip.AddrPort][]int64{}},
 		affected:        newAffected(),
 	}
@@ -57,7 +57,8 @@
 	return affected{services: map[view.ServiceID]bool{}, members: map[view.Incarnation]bool{}}
 }
 
-// checkServices refuses services that cannot follow those in force.
+// checkServices refuses services that change the buckets of a service in force, or
+// that need more IDs than are left.
 func (e *environment) checkServices(services []view.Service) error {
 	added := uint32(0)
 
@@ -69,7 +70,7 @@
 			continue
 		}
 
-		// Agents and balancers place flows by bucket, so a new number would
+		// Agents and balancers place flows by bucket, so another number would
 		// move the flows of a running service.
 		if old.Buckets != service.Buckets {
 			return fmt.Errorf("service %q: found %d buckets, allowed: %d, as in the version in force",
@@ -77,9 +78,9 @@
 		}
 	}
 
-	if e.nextService+added > math.MaxUint16+1 {
+	if e.nextServiceID+added > math.MaxUint16+1 {
 		return fmt.Errorf("found %d new services, allowed: %d, because IDs are never reused",
-			added, math.MaxUint16+1-e.nextService)
+			added, math.MaxUint16+1-e.nextServiceID)
 	}
 
 	return nil
@@ -106,8 +107,8 @@
 	}
 }
 
-// setServices puts services in force. A service keeps the ID that its name
-// has; members of removed services leave.
+// setServices puts services in force. A service whose name is in force keeps its
+// ID. The agents of removed services are removed.
 func (e *environment) setServices(services []view.Service) {
 	next := slices.Clone(services)
 	kept := make(map[view.ServiceID]bool, len(next))
@@ -118,8 +119,8 @@
 			next[i].ID = old.ID
 			kept[old.ID] = true
 		} else {
-			next[i].ID = view.ServiceID(e.nextService)
-			e.nextService++
+			next[i].ID = view.ServiceID(e.nextServiceID)
+			e.nextServiceID++
 		}
 
 		if !ok || !old.Equal(next[i]) {
@@ -142,7 +143,8 @@
 	e.indexServices(next)
 }
 
-// view returns the current view, built from the last one and what is affected.
+// view returns the current view. It updates the previous view with what is
+// affected, or builds the view from the whole state if there is none.
 func (e *environment) view(generation, version uint64, digest [32]byte) *view.View {
 	position := view.Position{Generation: generation, Index: e.index}
 
--- a/internal/state/catalog/error.go
+++ b/internal/state/catalog/error.go
@@ -8,8 +8,8 @@
 // The kinds of refusals and errors of this package.
 const (
 	KindEncoding       Kind = "encoding"        // the bytes are not a command or a snapshot
-	KindInvalid        Kind = "invalid"         // a field or the document breaks a rule
-	KindConflict       Kind = "conflict"        // another change was first; Result.Winner names it
+	KindInvalid        Kind = "invalid"         // a field or the document is not valid
+	KindConflict       Kind = "conflict"        // another change or key rotation was first
 	KindReused         Kind = "reused"          // the ID belongs to a command with other contents
 	KindRejected       Kind = "rejected"        // the same bytes were rejected as the same version
 	KindNotInTrial     Kind = "not-in-trial"    // the digest was not accepted in trial
@@ -18,9 +18,9 @@
 	KindSignature      Kind = "signature"       // the signature is not valid for its key and text
 	KindUnknownService Kind = "unknown-service" // the accepted document has no such service
 	KindUnknownMember  Kind = "unknown-member"  // no such agent or balancer is announced
-	KindSuperseded     Kind = "superseded"      // the boot ID left or was replaced
+	KindSuperseded     Kind = "superseded"      // the member with the boot ID left or was replaced
 	KindDraining       Kind = "draining"        // the agent is leaving, so its weight stays 0
-	KindFull           Kind = "full"            // a bound on the size of the state is reached
+	KindFull           Kind = "full"            // a limit on the size of the state is reached
 	KindInUse          Kind = "in-use"          // the data address belongs to an active member of another service or role
 )
 
@@ -45,7 +45,8 @@
 // Kind returns the kind of the error.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Winner returns the change that was first if the kind is KindConflict.
+// Winner returns the change that a submission conflicts with, or nil if the error
+// has another cause.
 func (e *Error) Winner() *Winner { return e.winner }
 
 // Unwrap returns the cause.
--- a/internal/state/catalog/flapping.go
+++ b/internal/state/catalog/flapping.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// Bounds of the detection of flapping.
+// Limits of the detection of flapping.
 const (
-	// keptStarts bounds the memory for the detection of flapping.
-	keptStarts = 65_536
+	// maxRecentStarts limits the starts that are remembered over all addresses.
+	maxRecentStarts = 65_536
 
-	// An address that starts flapStarts incarnations within flapWindow is
-	// flapping: the new one starts with flapWeight and is ramped up, because a
-	// backend server that crashes under load must not get its full share.
+	// An address that announces flapStarts incarnations within flapWindow is
+	// flapping. The new incarnation starts with flapWeight and is ramped up,
+	// because a backend server that crashes under load must not get its full
+	// share of new flows at once.
 	flapStarts = 3
 	flapWindow = 30 * time.Second
 	flapWeight = 1
@@ -24,7 +25,7 @@
 	Time int64          `cbor:"2,keyasint"`
 }
 
-// starts remembers the recent starts, oldest first.
+// starts holds the recent starts, oldest first.
 type starts struct {
 	order  []start
 	byData map[netip.AddrPort][]int64 // times, oldest first
@@ -44,10 +45,11 @@
 	}
 }
 
-// flaps records a start and reports whether the address started too often.
-// Times of different leaders can be out of order, so their distance counts.
-func (s *starts) flaps(now int64, data netip.AddrPort) bool {
-	for len(s.order) > 0 && (len(s.order) >= keptStarts || distance(s.order[0].Time, now) >= uint64(flapWindow)) {
+// detectFlapping records a start and reports whether the address started too
+// often. It compares absolute differences, because times of different leaders can
+// be out of order.
+func (s *starts) detectFlapping(now int64, data netip.AddrPort) bool {
+	for len(s.order) > 0 && (len(s.order) >= maxRecentStarts || distance(s.order[0].Time, now) >= uint64(flapWindow)) {
 		s.dropOldest()
 	}
 
--- a/internal/state/catalog/member.go
+++ b/internal/state/catalog/member.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// Bounds of the members of one environment, about twice the target size.
+	// Limits on the members of one environment, about twice the target size.
 	maxAgents    = 52_000
 	maxBalancers = 4_800
 
-	// keptSuspended is how long a member is reachable for its established flows
-	// after its lease ran out. A flow outlives most partitions, and 140 failures
-	// a day leave about 6 dead members in the view.
-	keptSuspended = time.Hour
+	// suspensionTTL is how long a member stays reachable for its established flows
+	// after its lease expired. Most partitions end within this time, so their
+	// flows survive, and 140 failures a day leave about 6 dead members in the view.
+	suspensionTTL = time.Hour
 )
 
 // member is one incarnation of an agent or a balancer.
@@ -31,7 +31,7 @@
 	State       view.State       `cbor:"8,keyasint"`
 	Boot        BootID           `cbor:"9,keyasint"`
 	Flapping    bool             `cbor:"10,keyasint"`
-	Expired     int64            `cbor:"11,keyasint"` // when the lease ran out, 0 while it is held
+	Expired     int64            `cbor:"11,keyasint"` // Unix nanoseconds when the lease expired, 0 while it is valid
 }
 
 func (m member) agent() view.Agent {
@@ -45,8 +45,8 @@
 	return view.Balancer{Incarnation: m.Incarnation, Zone: m.Zone, Data: m.Data, Relay: m.Peer, State: m.viewState()}
 }
 
-// viewState returns the state in views, where a member without a lease is
-// suspended.
+// viewState returns the state that views show. A member whose lease has expired is
+// shown as suspended.
 func (m member) viewState() view.State {
 	if m.Expired != 0 {
 		return view.Suspended
@@ -55,10 +55,11 @@
 	return m.State
 }
 
-// activeElsewhere reports whether the member is in use for another service or
-// role. The key of one service must not suffice to remove agents of another;
-// once their lease has run out, their address is free.
-func (m member) activeElsewhere(role Role, service view.ServiceID) bool {
+// conflictsWith reports whether the member is active under another service or
+// role, so that its address cannot be taken over. The key of one service must not
+// suffice to remove agents of another. Once their lease has expired, their address
+// is free.
+func (m member) conflictsWith(role Role, service view.ServiceID) bool {
 	return m.Expired == 0 && m.State == view.Active && (m.Role != role || m.Service != service)
 }
 
@@ -69,16 +70,16 @@
 // put inserts or updates a member and its indexes.
 func (e *environment) put(m member) {
 	if _, known := e.members[m.Incarnation]; !known && m.Role == RoleAgent {
-		e.agents++
+		e.agentCount++
 	}
 
 	e.members[m.Incarnation] = m
-	e.boots[m.Boot] = m.Incarnation
-	e.addresses[m.Data] = m.Incarnation
+	e.byBoot[m.Boot] = m.Incarnation
+	e.byAddress[m.Data] = m.Incarnation
 	e.affected.members[m.Incarnation] = true
 }
 
-// remove drops a member that may announce again with its boot ID.
+// remove removes a member, which may announce again with its boot ID.
 func (e *environment) remove(incarnation view.Incarnation) {
 	old, ok := e.members[incarnation]
 	if !ok {
@@ -86,109 +87,109 @@
 	}
 
 	if old.Role == RoleAgent {
-		e.agents--
+		e.agentCount--
 	}
 
 	delete(e.members, incarnation)
-	delete(e.boots, old.Boot)
-	delete(e.addresses, old.Data)
+	delete(e.byBoot, old.Boot)
+	delete(e.byAddress, old.Data)
 	e.affected.members[incarnation] = true
 }
 
-// end drops a member whose boot ID may not announce again.
-func (e *environment) end(incarnation view.Incarnation) {
-	e.ended.add(e.members[incarnation].Boot)
+// retire removes a member and refuses later announcements with its boot ID.
+func (e *environment) retire(incarnation view.Incarnation) {
+	e.retired.add(e.members[incarnation].Boot)
 	e.remove(incarnation)
 }
 
-// leave starts draining a member or removes it. A repeated leave succeeds
-// without effect.
+// leave starts draining a member or removes it. A repeated leave succeeds without
+// effect.
 func (e *environment) leave(command Leave) (Result, bool) {
-	known, ok := e.members[command.Incarnation]
+	existing, ok := e.members[command.Incarnation]
 	result := Result{Incarnation: command.Incarnation}
 
 	switch {
 	case command.Phase != PhaseDraining && command.Phase != PhaseGone:
 		return refuse(KindInvalid, "found phase %q, allowed: %s, %s", command.Phase, PhaseDraining, PhaseGone), false
 	case !ok && command.Phase == PhaseGone && uint32(command.Incarnation) < e.nextIncarnation:
-		return result, false // a resend, or it expired first
+		return result, false // a resend, or removed after its lease expired
 	case !ok:
 		return refuse(KindUnknownMember, "incarnation %d is not announced in %s", command.Incarnation, e.name), false
 	case command.Phase == PhaseGone:
-		e.end(command.Incarnation)
+		e.retire(command.Incarnation)
 		result.Removed = []view.Incarnation{command.Incarnation}
 
 		return result, true
-	case known.State == view.Draining:
+	case existing.State == view.Draining:
 		return result, false
 	}
 
-	known.State, known.Weight = view.Draining, 0
-	e.put(known)
+	existing.State, existing.Weight = view.Draining, 0
+	e.put(existing)
 
 	return result, true
 }
 
-// expire suspends members whose leases ran out and removes those that have
-// been suspended for keptSuspended.
+// expire suspends members whose leases have expired and removes those that have
+// been suspended for suspensionTTL.
 func (e *environment) expire(at entry, command Expire) (Result, bool) {
 	var result Result
 
 	for _, incarnation := range command.Incarnations {
-		known, ok := e.members[incarnation]
-		if !ok || known.Expired != 0 {
+		existing, ok := e.members[incarnation]
+		if !ok || existing.Expired != 0 {
 			continue
 		}
 
-		known.Expired = max(at.now, 1)
-		e.put(known)
+		existing.Expired = max(at.now, 1)
+		e.put(existing)
 
 		result.Removed = append(result.Removed, incarnation)
 	}
 
-	forgotten := e.forget(at.now)
+	removed := e.removeSuspended(at.now)
 
-	return result, forgotten || len(result.Removed) > 0
+	return result, removed || len(result.Removed) > 0
 }
 
-// forget removes the members that have been suspended for too long and reports
-// whether there were any.
-func (e *environment) forget(now int64) bool {
-	var gone []view.Incarnation
+// removeSuspended removes the members that have been suspended for suspensionTTL
+// and reports whether there were any.
+func (e *environment) removeSuspended(now int64) bool {
+	var overdue []view.Incarnation
 
-	for incarnation, known := range e.members {
-		if known.Expired != 0 && now > known.Expired && distance(known.Expired, now) >= uint64(keptSuspended) {
-			gone = append(gone, incarnation)
+	for incarnation, m := range e.members {
+		if m.Expired != 0 && now > m.Expired && distance(m.Expired, now) >= uint64(suspensionTTL) {
+			overdue = append(overdue, incarnation)
 		}
 	}
 
-	// The order decides which boot IDs are remembered longest, and replicas must agree.
-	slices.Sort(gone)
+	// The order decides which boot IDs are dropped first, and replicas must agree.
+	slices.Sort(overdue)
 
-	for _, incarnation := range gone {
-		e.end(incarnation)
+	for _, incarnation := range overdue {
+		e.retire(incarnation)
 	}
 
-	return len(gone) > 0
+	return len(overdue) > 0
 }
 
 // setWeight changes the share of new flows of an agent that is not draining.
 func (e *environment) setWeight(command SetWeight) (Result, bool) {
-	known, ok := e.members[command.Incarnation]
+	existing, ok := e.members[command.Incarnation]
 
 	switch {
 	case command.Weight > view.MaxWeight:
 		return refuse(KindInvalid, "found weight %d, allowed: 0 to %d", command.Weight, view.MaxWeight), false
-	case !ok || known.Role != RoleAgent:
+	case !ok || existing.Role != RoleAgent:
 		return refuse(KindUnknownMember, "incarnation %d is not an agent of %s", command.Incarnation, e.name), false
-	case known.State == view.Draining:
+	case existing.State == view.Draining:
 		return refuse(KindDraining, "incarnation %d is draining", command.Incarnation), false
-	case known.Weight == command.Weight:
-		return known.result(), false
+	case existing.Weight == command.Weight:
+		return existing.result(), false
 	}
 
-	known.Weight = command.Weight
-	e.put(known)
+	existing.Weight = command.Weight
+	e.put(existing)
 
-	return known.result(), true
+	return existing.result(), true
 }
--- a/internal/state/catalog/member_test.go
+++ b/internal/state/catalog/member_test.go
@@ -9,59 +9,59 @@
 	"jayspindle/internal/state/view"
 )
 
-// Guards against an announcement that counts twice, serves without the
-// service key, or replaces its successor when it arrives late.
+// Guards against an announcement that adds two members, is accepted without the
+// service key, or replaces a newer incarnation when it arrives late.
 func TestAnnounce(t *testing.T) {
-	l := newLog(t)
+	l := newCommandLog(t)
 	is := is.New(t)
-	l.accept(Trial, yamlOf(2, "one"))
+	l.mustAccept(Trial, newDocument(2, "one"))
 
-	first := l.ok(announceOf("s0", 1, 1))
+	first := l.mustApply(announceCommand("s0", 1, 1))
 	is.Equal(first.Incarnation, view.Incarnation(1))
-	is.Equal(l.ok(announceOf("s0", 1, 1)), first) // resend
-	l.refused(KindReused, announceOf("s0", 2, 1))
+	is.Equal(l.mustApply(announceCommand("s0", 1, 1)), first) // resend
+	l.mustRefuse(KindReused, announceCommand("s0", 2, 1))
 
-	forged := announceOf("s0", 3, 3)
+	forged := announceCommand("s0", 3, 3)
 	forged.Announce.Service = "s1"
-	l.refused(KindSignature, forged)
+	l.mustRefuse(KindSignature, forged)
 
-	second := l.ok(announceOf("s0", 1, 2))
+	second := l.mustApply(announceCommand("s0", 1, 2))
 	is.Equal(second.Removed, []view.Incarnation{1})
-	l.refused(KindSuperseded, announceOf("s0", 1, 1)) // late duplicate of the replaced process
+	l.mustRefuse(KindSuperseded, announceCommand("s0", 1, 1)) // late duplicate of the replaced process
 
-	l.ok(Command{Expire: &Expire{Environment: Trial, Incarnations: []view.Incarnation{1, 2}}})
+	l.mustApply(Command{Expire: &Expire{Environment: Trial, Incarnations: []view.Incarnation{1, 2}}})
 	assertState(t, l.state, 2, view.Suspended)
-	third := l.ok(announceOf("s0", 1, 2)) // an expired process comes back under its incarnation
+	third := l.mustApply(announceCommand("s0", 1, 2)) // an expired process comes back under its incarnation
 	is.Equal(third.Incarnation, view.Incarnation(2))
 	is.Equal(len(assertView(t, l.state, Trial).Agents()), 1)
 	assertState(t, l.state, 2, view.Active)
 }
 
 // Guards against flows that break because an agent lost only its control link,
-// and against dead agents that stay in views for ever.
+// and against dead agents that stay in views forever.
 func TestSuspension(t *testing.T) {
-	l := newLog(t)
+	l := newCommandLog(t)
 	is := is.New(t)
-	l.accept(Trial, yamlOf(1, "one"))
-	l.ok(announceOf("s0", 1, 1))
-	l.ok(announceOf("s0", 2, 2))
+	l.mustAccept(Trial, newDocument(1, "one"))
+	l.mustApply(announceCommand("s0", 1, 1))
+	l.mustApply(announceCommand("s0", 2, 2))
 
 	expire := func(incarnation view.Incarnation) Result {
-		return l.ok(Command{Expire: &Expire{Environment: Trial, Incarnations: []view.Incarnation{incarnation}}})
+		return l.mustApply(Command{Expire: &Expire{Environment: Trial, Incarnations: []view.Incarnation{incarnation}}})
 	}
 
 	is.Equal(expire(1).Removed, []view.Incarnation{1})
 	is.Equal(len(expire(1).Removed), 0) // a resend changes nothing
 	assertState(t, l.state, 1, view.Suspended)
 
-	l.now = l.now.Add(keptSuspended - time.Second)
+	l.now = l.now.Add(suspensionTTL - time.Second)
 	expire(2)
 	assertState(t, l.state, 1, view.Suspended)
 
 	l.now = l.now.Add(time.Second)
 	expire(2)
-	is.Equal(len(assertView(t, l.state, Trial).Agents()), 1) // the first is forgotten
-	l.refused(KindSuperseded, announceOf("s0", 1, 1))
+	is.Equal(len(assertView(t, l.state, Trial).Agents()), 1) // the first is removed
+	l.mustRefuse(KindSuperseded, announceCommand("s0", 1, 1))
 }
 
 func assertState(t *testing.T, state *Catalog, incarnation view.Incarnation, want view.State) {
@@ -74,14 +74,14 @@
 
 // Guards against a crash loop that gets a full share of new flows.
 func TestFlapping(t *testing.T) {
-	l := newLog(t)
+	l := newCommandLog(t)
 	is := is.New(t)
-	l.accept(Trial, yamlOf(1, "one"))
+	l.mustAccept(Trial, newDocument(1, "one"))
 
 	weights := func(step time.Duration, boot uint64) []uint8 {
 		var all []uint8
 		for i := range uint64(3) {
-			all = append(all, l.ok(announceOf("s0", 1, boot+i)).Weight)
+			all = append(all, l.mustApply(announceCommand("s0", 1, boot+i)).Weight)
 			l.now = l.now.Add(step)
 		}
 
@@ -93,13 +93,13 @@
 	is.Equal(weights(16*time.Second, 20), []uint8{100, 100, 100})
 }
 
-// Guards against a leaving agent that gets work again, and against leaves
-// whose resend fails.
+// Guards against a draining agent that gets new flows again, and against a
+// repeated leave that fails.
 func TestLeave(t *testing.T) {
-	l := newLog(t)
+	l := newCommandLog(t)
 	is := is.New(t)
-	l.accept(Trial, yamlOf(1, "one"))
-	added := l.ok(announceOf("s0", 1, 1)).Incarnation
+	l.mustAccept(Trial, newDocument(1, "one"))
+	added := l.mustApply(announceCommand("s0", 1, 1)).Incarnation
 	leave := func(phase Phase) Command {
 		return Command{Leave: &Leave{Environment: Trial, Incarnation: added, Phase: phase}}
 	}
@@ -107,57 +107,57 @@
 		return Command{SetWeight: &SetWeight{Environment: Trial, Incarnation: added, Weight: weight}}
 	}
 
-	l.refused(KindInvalid, weight(101))
-	is.Equal(l.ok(weight(40)).Weight, uint8(40))
-	l.ok(leave(PhaseDraining))
-	l.ok(leave(PhaseDraining))
-	l.refused(KindDraining, weight(100))
+	l.mustRefuse(KindInvalid, weight(101))
+	is.Equal(l.mustApply(weight(40)).Weight, uint8(40))
+	l.mustApply(leave(PhaseDraining))
+	l.mustApply(leave(PhaseDraining))
+	l.mustRefuse(KindDraining, weight(100))
 
 	agent, _ := assertView(t, l.state, Trial).Agent(added)
 	is.Equal(agent.State, view.Draining)
 	is.Equal(agent.Weight, uint8(0))
 
-	l.ok(leave(PhaseGone))
-	l.ok(leave(PhaseGone))
-	l.refused(KindUnknownMember, leave(PhaseDraining))
-	l.refused(KindSuperseded, announceOf("s0", 1, 1))
+	l.mustApply(leave(PhaseGone))
+	l.mustApply(leave(PhaseGone))
+	l.mustRefuse(KindUnknownMember, leave(PhaseDraining))
+	l.mustRefuse(KindSuperseded, announceCommand("s0", 1, 1))
 	is.Equal(len(assertView(t, l.state, Trial).Agents()), 0)
 }
 
-// Guards against a resend that rotates twice, which would void the key that
+// Guards against a resend that rotates twice, which would drop a key that
 // receivers still need.
 func TestRotateKey(t *testing.T) {
-	l := newLog(t)
+	l := newCommandLog(t)
 	is := is.New(t)
 	rotate := func(rotation uint64, secret byte) Command {
 		return Command{RotateKey: &RotateKey{Environment: Trial, Rotation: rotation, Secret: [32]byte{secret}}}
 	}
 
 	for i := range uint8(10) {
-		is.Equal(l.ok(rotate(uint64(i), i+1)).KeyID, i%keyIDs)
-		l.ok(rotate(uint64(i), i+1)) // resend
+		is.Equal(l.mustApply(rotate(uint64(i), i+1)).KeyID, i%keyIDCount)
+		l.mustApply(rotate(uint64(i), i+1)) // resend
 	}
 
-	l.refused(KindInvalid, rotate(10, 0))
-	l.refused(KindReused, rotate(10, 9))
+	l.mustRefuse(KindInvalid, rotate(10, 0))
+	l.mustRefuse(KindReused, rotate(10, 9))
 	is.Equal(l.apply(rotate(3, 77)).Kind, KindConflict)
 
-	held := assertView(t, l.state, Trial).Keys()
-	is.Equal(len(held), keptKeys)
+	fabricKeys := assertView(t, l.state, Trial).Keys()
+	is.Equal(len(fabricKeys), maxKeys)
 
-	for i, key := range held {
-		is.Equal(key.Secret[0], byte(10-i)) // newest first, none left out
+	for i, key := range fabricKeys {
+		is.Equal(key.Secret[0], byte(10-i)) // newest first, without a gap
 	}
 }
 
-// Guards against the holder of one service's key who removes agents of another
+// Guards against a holder of one service's key who removes agents of another
 // service by announcing their addresses.
 func TestAddressOfAnotherService(t *testing.T) {
-	l := newLog(t)
-	l.accept(Trial, yamlOf(2, "one"))
-	l.ok(announceOf("s0", 1, 1))
-	l.refused(KindInUse, announceOf("s1", 1, 2))
+	l := newCommandLog(t)
+	l.mustAccept(Trial, newDocument(2, "one"))
+	l.mustApply(announceCommand("s0", 1, 1))
+	l.mustRefuse(KindInUse, announceCommand("s1", 1, 2))
 
-	l.ok(Command{Expire: &Expire{Environment: Trial, Incarnations: []view.Incarnation{1}}})
-	is.New(t).Equal(l.ok(announceOf("s1", 1, 2)).Removed, []view.Incarnation{1}) // the address is free
+	l.mustApply(Command{Expire: &Expire{Environment: Trial, Incarnations: []view.Incarnation{1}}})
+	is.New(t).Equal(l.mustApply(announceCommand("s1", 1, 2)).Removed, []view.Incarnation{1}) // the address is free
 }
--- a/internal/state/catalog/race_test.go
+++ b/internal/state/catalog/race_test.go
@@ -15,48 +15,50 @@
 	"jayspindle/internal/testing/soak"
 )
 
-// intent is an acceptance that an owner gave. A rejection that was applied
-// withdraws those of both owners; one that the network lost cannot.
-type intent struct {
+// acceptance identifies an acceptance that an owner has signed. A rejection that
+// is applied withdraws the acceptances of both owners; a lost one does not.
+type acceptance struct {
 	owner, key, environment string
 	version                 uint64
 	digest                  [32]byte
 }
 
-// world drives two replicas with racing operators and a network that loses
-// answers, repeats, delays and alters commands.
-type world struct {
-	*log
-	random   *rand.Rand
-	replica  *Catalog // restored from its snapshot now and then
-	sent     [][]byte
-	keys     map[string]ed25519.PrivateKey
-	intents  map[intent]bool
-	accepted map[string]map[uint64][32]byte
-	answers  map[[32]byte]Result
-	highest  view.Incarnation
-	counts   map[string]int
+// workload applies random commands of concurrent operators to two replicas, over a
+// network that loses answers and repeats, delays and alters commands.
+type workload struct {
+	*commandLog
+	random             *rand.Rand
+	replica            *Catalog // restored from its snapshot at random
+	sent               [][]byte
+	keys               map[string]ed25519.PrivateKey
+	acceptances        map[acceptance]bool
+	accepted           map[string]map[uint64][32]byte
+	answers            map[[32]byte]Result
+	highestIncarnation view.Incarnation
+	counts             map[string]int
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{
-		log: newLog(t), random: rand.New(rand.NewPCG(seed, 0)), replica: founded(t),
-		keys:    map[string]ed25519.PrivateKey{"ann": private(1), "bob": private(2)},
-		intents: map[intent]bool{}, answers: map[[32]byte]Result{}, counts: map[string]int{},
+func newWorkload(t *testing.T, seed uint64) *workload {
+	w := &workload{
+		commandLog: newCommandLog(t), random: rand.New(rand.NewPCG(seed, 0)), replica: newCatalog(t),
+		keys:        map[string]ed25519.PrivateKey{"ann": privateKey(1), "bob": privateKey(2)},
+		acceptances: map[acceptance]bool{}, answers: map[[32]byte]Result{}, counts: map[string]int{},
 		accepted: map[string]map[uint64][32]byte{Trial: {}, Production: {}, Owners: {}},
 	}
 
 	return w
 }
 
-func (w *world) environment() string { return []string{Trial, Production, Owners}[w.random.IntN(3)] }
+func (w *workload) randomEnvironment() string {
+	return []string{Trial, Production, Owners}[w.random.IntN(3)]
+}
 
-func (w *world) owner() string { return []string{"ann", "bob"}[w.random.IntN(2)] }
+func (w *workload) randomOwner() string { return []string{"ann", "bob"}[w.random.IntN(2)] }
 
-// decide returns an owner's honest decision on what is pending, altered in one
-// field now and then.
-func (w *world) decide() Command {
-	environment, owner := w.environment(), w.owner()
+// decideCommand returns an owner's decision on the pending change. Some of the
+// commands are altered in one field.
+func (w *workload) decideCommand() Command {
+	environment, owner := w.randomEnvironment(), w.randomOwner()
 	pending, _ := w.state.Pending(environment)
 
 	decision := document.Accept
@@ -70,14 +72,14 @@
 	}
 
 	if decision == document.Accept {
-		w.intents[w.intentOf(owner, environment, pending.Version, pending.Digest)] = true
+		w.acceptances[w.newAcceptance(owner, environment, pending.Version, pending.Digest)] = true
 	}
 
 	switch w.random.IntN(12) {
 	case 0:
-		sign.Environment = w.environment()
+		sign.Environment = w.randomEnvironment()
 	case 1:
-		sign.Owner = w.owner()
+		sign.Owner = w.randomOwner()
 	case 2:
 		sign.Version++
 	case 3:
@@ -93,38 +95,40 @@
 	return Command{Sign: &sign}
 }
 
-func (w *world) intentOf(owner, environment string, version uint64, digest [32]byte) intent {
+func (w *workload) newAcceptance(owner, environment string, version uint64, digest [32]byte) acceptance {
 	key := string(w.keys[owner].Public().(ed25519.PublicKey))
 
-	return intent{owner: owner, key: key, environment: environment, version: version, digest: digest}
+	return acceptance{owner: owner, key: key, environment: environment, version: version, digest: digest}
 }
 
-func (w *world) propose() Command {
+func (w *workload) proposeCommand() Command {
 	id := fmt.Sprintf("c%d", w.random.IntN(100_000))
-	environment := w.environment()
+	environment := w.randomEnvironment()
 	base := w.state.Version(environment) - min(uint64(w.random.IntN(4)/3), w.state.Version(environment))
 
 	switch environment {
 	case Owners:
-		owner := w.owner()
+		owner := w.randomOwner()
 
 		return Command{ReplaceOwner: &ReplaceOwner{
-			Base: base, ChangeID: id, Author: w.owner(), Owner: owner, NewName: owner,
-			NewKey: public(byte(10 + 2*w.random.IntN(3) + len(owner+"x")%2 + int(owner[0]%2))),
+			Base: base, ChangeID: id, Author: w.randomOwner(), Owner: owner, NewName: owner,
+			NewKey: publicKey(byte(10 + 2*w.random.IntN(3) + len(owner+"x")%2 + int(owner[0]%2))),
 		}}
 	case Production:
 		if trial, ok := w.state.ExplainVersion(Trial, w.state.Version(Trial)); ok && w.random.IntN(4) > 0 {
-			return Command{Promote: &Promote{Base: base, ChangeID: id, Author: w.owner(), Digest: trial.Digest}}
+			return Command{Promote: &Promote{Base: base, ChangeID: id, Author: w.randomOwner(), Digest: trial.Digest}}
 		}
 	}
 
-	data := yamlOf(1+w.random.IntN(4), fmt.Sprint(w.random.IntN(20)))
+	data := newDocument(1+w.random.IntN(4), fmt.Sprint(w.random.IntN(20)))
 
-	return Command{Submit: &Submit{Environment: environment, Base: base, ChangeID: id, Author: w.owner(), Document: data}}
+	return Command{Submit: &Submit{
+		Environment: environment, Base: base, ChangeID: id, Author: w.randomOwner(), Document: data,
+	}}
 }
 
-func (w *world) member() Command {
-	incarnation := view.Incarnation(1 + w.random.IntN(int(w.highest)+2))
+func (w *workload) memberCommand() Command {
+	incarnation := view.Incarnation(1 + w.random.IntN(int(w.highestIncarnation)+2))
 
 	switch w.random.IntN(8) {
 	case 0:
@@ -140,18 +144,18 @@
 			Environment: Trial, Rotation: uint64(w.random.IntN(6)), Secret: [32]byte{byte(w.random.IntN(9))},
 		}}
 	default:
-		return announceOf(fmt.Sprintf("s%d", w.random.IntN(4)), w.random.IntN(20), w.random.Uint64N(200))
+		return announceCommand(fmt.Sprintf("s%d", w.random.IntN(4)), w.random.IntN(20), w.random.Uint64N(200))
 	}
 }
 
-// next returns a new command, one that was sent before, or an altered one.
-func (w *world) next() []byte {
+// nextEntry returns a new command, one that was sent before, or an altered one.
+func (w *workload) nextEntry() []byte {
 	w.now = w.now.Add(time.Duration(w.random.IntN(8)-1) * time.Second)
-	kind := w.random.IntN(20)
+	choice := w.random.IntN(20)
 
-	if len(w.sent) > 0 && kind < 5 {
+	if len(w.sent) > 0 && choice < 5 {
 		encoded := w.sent[w.random.IntN(len(w.sent))]
-		if kind == 0 {
+		if choice == 0 {
 			encoded = bytes.Clone(encoded)
 			encoded[w.random.IntN(len(encoded))] ^= byte(1 << w.random.IntN(8))
 		}
@@ -162,12 +166,12 @@
 	var command Command
 
 	switch {
-	case kind < 9:
-		command = w.propose()
-	case kind < 16:
-		command = w.decide()
+	case choice < 9:
+		command = w.proposeCommand()
+	case choice < 16:
+		command = w.decideCommand()
 	default:
-		command = w.member()
+		command = w.memberCommand()
 	}
 
 	encoded := w.encode(command)
@@ -176,12 +180,12 @@
 	return encoded
 }
 
-func (w *world) step() {
+func (w *workload) step() {
 	w.t.Helper()
 
 	is := is.New(w.t)
-	encoded := w.next()
-	before := snapshotOf(w.t, w.state)
+	encoded := w.nextEntry()
+	before := takeSnapshot(w.t, w.state)
 	versions := map[string]uint64{}
 
 	for environment := range w.accepted {
@@ -190,16 +194,16 @@
 
 	w.index++
 	result := w.state.Apply(w.index, encoded)
-	is.Equal(w.replica.Apply(w.index, encoded), result) // replicas answer alike
+	is.Equal(w.replica.Apply(w.index, encoded), result) // replicas return the same result
 
-	after := snapshotOf(w.t, w.state)
+	after := takeSnapshot(w.t, w.state)
 	if result.Kind != "" && result.Kind != KindConflict {
 		is.True(bytes.Equal(before, after)) // a refused command changes nothing
 	}
 
 	if result.Status == Rejected {
 		for _, owner := range []string{"ann", "bob"} {
-			delete(w.intents, w.intentOf(owner, result.Environment, result.Version, result.Digest))
+			delete(w.acceptances, w.newAcceptance(owner, result.Environment, result.Version, result.Digest))
 		}
 	}
 
@@ -210,19 +214,19 @@
 		w.checkVersion(environment, version)
 	}
 
-	if result.Incarnation > w.highest {
-		w.highest = result.Incarnation
+	if result.Incarnation > w.highestIncarnation {
+		w.highestIncarnation = result.Incarnation
 	}
 
 	if w.random.IntN(20) == 0 {
-		w.replica = restored(w.t, snapshotOf(w.t, w.replica))
+		w.replica = restoreCatalog(w.t, takeSnapshot(w.t, w.replica))
 		assertView(w.t, w.state, Trial)
 		assertView(w.t, w.state, Production)
 	}
 }
 
 // checkAnswer asserts that a resend of a submission gets the first answer.
-func (w *world) checkAnswer(encoded []byte, result Result) {
+func (w *workload) checkAnswer(encoded []byte, result Result) {
 	w.t.Helper()
 
 	command, err := decodeCommand(encoded)
@@ -234,15 +238,15 @@
 	contents := hashCommand(command)
 
 	if first, ok := w.answers[contents]; ok {
-		is.New(w.t).Equal(result, first) // first answer
+		is.New(w.t).Equal(result, first) // the same answer
 	} else if result.Kind == "" || result.Kind == KindConflict {
 		w.answers[contents] = result
 	}
 }
 
-// checkVersion asserts that a version came into force by one step and with
-// the acceptance of both owners, and that no version changes.
-func (w *world) checkVersion(environment string, old uint64) {
+// checkVersion asserts that the version increased by at most one, that both owners
+// accepted a new version, and that no accepted version changes.
+func (w *workload) checkVersion(environment string, old uint64) {
 	w.t.Helper()
 
 	is := is.New(w.t)
@@ -254,18 +258,18 @@
 		is.True(ok)
 
 		for _, owner := range []string{"ann", "bob"} {
-			is.True(w.intents[w.intentOf(owner, environment, version, record.Digest)]) // both owners accept
+			is.True(w.acceptances[w.newAcceptance(owner, environment, version, record.Digest)]) // both owners accept
 		}
 
 		if environment == Production {
-			is.True(w.state.ledgers[Trial].acceptedDigest(record.Digest) != nil)
+			is.True(w.state.ledgers[Trial].acceptedByDigest(record.Digest) != nil)
 		}
 
 		w.accepted[environment][version] = record.Digest
 		w.counts["accepted "+environment]++
 
 		if environment == Owners {
-			w.takeKeys()
+			w.updateKeys()
 		}
 	}
 
@@ -275,73 +279,73 @@
 	}
 }
 
-func (w *world) takeKeys() {
+func (w *workload) updateKeys() {
 	for _, owner := range w.state.CurrentOwners() {
 		for seed := range byte(20) {
-			if bytes.Equal(public(seed), owner.Key) {
-				w.keys[owner.Name] = private(seed)
+			if bytes.Equal(publicKey(seed), owner.Key) {
+				w.keys[owner.Name] = privateKey(seed)
 			}
 		}
 	}
 }
 
-// Guards against lost, doubled or reverted changes under racing operators,
-// resends, lost answers, replayed and altered commands, and replicas that
-// restart from a snapshot at any moment.
+// Guards against changes that are lost, applied twice or reverted when operators
+// race, answers are lost, commands are resent, replayed or altered, and replicas
+// restart from a snapshot at any time.
 func TestRacingOperators(t *testing.T) {
 	soak.Run(t, 6, func(t *testing.T, seed uint64) {
-		w := newWorld(t, seed)
+		w := newWorkload(t, seed)
 		for range 250 {
 			w.step()
 		}
 
-		is.New(t).True(bytes.Equal(snapshotOf(t, w.state), snapshotOf(t, w.replica))) // replicas are identical
-		is.New(t).True(w.counts["accepted trial"]+w.counts["accepted owners"] > 0)    // the run reached acceptances
+		is.New(t).True(bytes.Equal(takeSnapshot(t, w.state), takeSnapshot(t, w.replica))) // replicas are identical
+		is.New(t).True(w.counts["accepted trial"]+w.counts["accepted owners"] > 0)        // the run reached acceptances
 		t.Log(w.counts)
 	})
 }
 
-// Guards against bytes in the log or in a snapshot that stop a controller.
+// Guards against bytes in a log entry that make a controller panic.
 func FuzzApply(f *testing.F) {
-	w := newLog(f)
-	data := yamlOf(1, "one")
-	f.Add(w.encode(submitOf(Trial, 0, "c", data)))
-	f.Add(w.encode(signOf("ann", Trial, 1, document.Digest(data))))
-	f.Add(w.encode(announceOf("s0", 1, 1)))
+	w := newCommandLog(f)
+	data := newDocument(1, "one")
+	f.Add(w.encode(submitCommand(Trial, 0, "c", data)))
+	f.Add(w.encode(signCommand("ann", Trial, 1, document.Digest(data))))
+	f.Add(w.encode(announceCommand("s0", 1, 1)))
 	f.Add(w.encode(Command{Expire: &Expire{Environment: Trial, Incarnations: []view.Incarnation{1}}}))
 	f.Fuzz(func(t *testing.T, encoded []byte) {
-		l := newLog(t)
-		l.accept(Trial, data)
+		l := newCommandLog(t)
+		l.mustAccept(Trial, data)
 
-		before := snapshotOf(t, l.state)
+		before := takeSnapshot(t, l.state)
 		if result := l.state.Apply(l.index+1, encoded); result.Kind != "" && result.Kind != KindConflict {
-			is.New(t).True(bytes.Equal(before, snapshotOf(t, l.state))) // a refused command changes nothing
+			is.New(t).True(bytes.Equal(before, takeSnapshot(t, l.state))) // a refused command changes nothing
 		}
 	})
 }
 
-// Guards against damaged snapshots that are accepted and break an invariant
-// later, and against a failed restore that leaves half a state.
+// Guards against damaged snapshots that are accepted and violate an invariant
+// later, and against a failed restore that leaves a partial state.
 func FuzzRestore(f *testing.F) {
-	l := newLog(f)
-	l.accept(Trial, yamlOf(1, "one"))
-	l.ok(announceOf("s0", 1, 1))
-	l.ok(submitOf(Trial, 1, "c", yamlOf(2, "two")))
-	l.ok(signOf("ann", Trial, 2, document.Digest(yamlOf(2, "two"))))
-	f.Add(snapshotOf(f, l.state))
+	l := newCommandLog(f)
+	l.mustAccept(Trial, newDocument(1, "one"))
+	l.mustApply(announceCommand("s0", 1, 1))
+	l.mustApply(submitCommand(Trial, 1, "c", newDocument(2, "two")))
+	l.mustApply(signCommand("ann", Trial, 2, document.Digest(newDocument(2, "two"))))
+	f.Add(takeSnapshot(f, l.state))
 	f.Fuzz(func(t *testing.T, encoded []byte) {
-		state := founded(t)
-		before := snapshotOf(t, state)
+		state := newCatalog(t)
+		before := takeSnapshot(t, state)
 
 		if err := state.Restore(encoded); err != nil {
-			is.New(t).True(bytes.Equal(before, snapshotOf(t, state))) // a failed restore changes nothing
+			is.New(t).True(bytes.Equal(before, takeSnapshot(t, state))) // a failed restore changes nothing
 			return
 		}
 
-		next := &log{t: t, state: state, now: start0, index: state.Index() + 1}
+		next := &commandLog{t: t, state: state, now: startTime, index: state.Index() + 1}
 		if next.index > 0 && next.index < 1<<60 {
-			next.apply(signOf("bob", Trial, 2, document.Digest(yamlOf(2, "two"))))
-			next.apply(announceOf("s0", 1, 2))
+			next.apply(signCommand("bob", Trial, 2, document.Digest(newDocument(2, "two"))))
+			next.apply(announceCommand("s0", 1, 2))
 		}
 
 		state.View(Trial)
--- a/internal/state/catalog/record.go
+++ b/internal/state/catalog/record.go
@@ -8,13 +8,13 @@
 	"jayspindle/internal/state/document"
 )
 
-// Bounds of the history of one environment.
+// Limits of the history of one environment.
 const (
-	keptDocuments = 256    // accepted versions whose bytes are kept
-	keptRecords   = 16_384 // changes, accepted or rejected, that are kept at all
+	maxKeptDocuments = 256    // accepted versions whose documents are kept
+	maxKeptChanges   = 16_384 // accepted and rejected changes that are kept, with or without documents
 
-	// maxRejections bounds the rejected digests of one version. When it is
-	// reached the pending change can only be accepted.
+	// maxRejections limits the rejected digests of one version. When it is
+	// reached, the pending change can only be accepted.
 	maxRejections = 4096
 )
 
@@ -39,7 +39,7 @@
 	Submitted   int64       `json:"submitted"`         // Unix nanoseconds
 	Decided     int64       `json:"decided,omitempty"` // Unix nanoseconds, 0 while pending
 	Signatures  []Signature `json:"signatures"`
-	Document    []byte      `json:"-"` // nil if the bytes are not kept
+	Document    []byte      `json:"-"` // nil if it is no longer kept
 }
 
 // change is the stored form of a record.
@@ -53,7 +53,7 @@
 	Submitted  int64       `cbor:"7,keyasint"`
 	Decided    int64       `cbor:"8,keyasint"`
 	Signatures []Signature `cbor:"9,keyasint"`
-	Chunks     []uint32    `cbor:"10,keyasint,omitempty"` // numbers of chunks, in snapshots only
+	Chunks     []uint32    `cbor:"10,keyasint,omitempty"` // indexes into snapshot.Chunks, in snapshots only
 	text       text
 }
 
@@ -88,17 +88,17 @@
 	return slices.ContainsFunc(c.Signatures, func(s Signature) bool { return s.Owner == owner })
 }
 
-// holds reports whether an owner made the decision with the signature.
-func (c *change) holds(owner string, decision document.Decision, signature []byte) bool {
+// hasSignature reports whether an owner made the decision with the signature.
+func (c *change) hasSignature(owner string, decision document.Decision, signature []byte) bool {
 	return slices.ContainsFunc(c.Signatures, func(s Signature) bool {
 		return s.Owner == owner && s.Decision == decision && bytes.Equal(s.Signature, signature)
 	})
 }
 
-// ledger is the sequence of changes of one environment, or of the owners.
+// ledger holds the changes of one environment or of the owners.
 type ledger struct {
 	name       string
-	version    uint64     // accepted last
+	version    uint64     // last accepted version
 	pending    *change    // nil if none
 	rejections [][32]byte // digests rejected as version+1
 	changes    []*change  // accepted and rejected, oldest first
@@ -106,47 +106,48 @@
 
 // conclude moves the pending change into the history.
 func (l *ledger) conclude(status Status, now int64) *change {
-	done := l.pending
-	done.Status, done.Decided = status, now
+	concluded := l.pending
+	concluded.Status, concluded.Decided = status, now
 	l.pending = nil
-	l.changes = append(l.changes, done)
+	l.changes = append(l.changes, concluded)
 
 	if status == Rejected {
-		done.text = nil
-		l.rejections = append(l.rejections, done.Digest)
+		concluded.text = nil
+		l.rejections = append(l.rejections, concluded.Digest)
 	} else {
-		l.version = done.Version
+		l.version = concluded.Version
 		l.rejections = nil
-		l.forgetDocument()
+		l.dropOldDocument()
 	}
 
-	if len(l.changes) > keptRecords {
+	if len(l.changes) > maxKeptChanges {
 		l.changes = l.changes[1:]
 	}
 
-	return done
+	return concluded
 }
 
-// forgetDocument drops the bytes of the version that has become too old.
-func (l *ledger) forgetDocument() {
-	if l.version <= keptDocuments {
+// dropOldDocument drops the document that is no longer among the newest
+// maxKeptDocuments.
+func (l *ledger) dropOldDocument() {
+	if l.version <= maxKeptDocuments {
 		return
 	}
 
-	if old := l.accepted(l.version - keptDocuments); old != nil {
+	if old := l.acceptedByVersion(l.version - maxKeptDocuments); old != nil {
 		old.text = nil
 	}
 }
 
-// accepted returns the change that was accepted as the version, nil if it is
-// unknown.
-func (l *ledger) accepted(version uint64) *change {
-	return l.last(func(c *change) bool { return c.Status == Accepted && c.Version == version })
+// acceptedByVersion returns the change that was accepted as the version, or nil if
+// it is unknown.
+func (l *ledger) acceptedByVersion(version uint64) *change {
+	return l.findLast(func(c *change) bool { return c.Status == Accepted && c.Version == version })
 }
 
-// acceptedDigest returns the last accepted change with the digest.
-func (l *ledger) acceptedDigest(digest [32]byte) *change {
-	return l.last(func(c *change) bool { return c.Status == Accepted && c.Digest == digest })
+// acceptedByDigest returns the last accepted change with the digest, or nil.
+func (l *ledger) acceptedByDigest(digest [32]byte) *change {
+	return l.findLast(func(c *change) bool { return c.Status == Accepted && c.Digest == digest })
 }
 
 func (l *ledger) byID(id string) *change {
@@ -154,10 +155,10 @@
 		return l.pending
 	}
 
-	return l.last(func(c *change) bool { return c.ID == id })
+	return l.findLast(func(c *change) bool { return c.ID == id })
 }
 
-func (l *ledger) last(match func(*change) bool) *change {
+func (l *ledger) findLast(match func(*change) bool) *change {
 	for i := len(l.changes) - 1; i >= 0; i-- {
 		if match(l.changes[i]) {
 			return l.changes[i]
@@ -167,10 +168,10 @@
 	return nil
 }
 
-// latestText returns the bytes in force, which share most chunks with the
-// next version.
+// latestText returns the document in force, which usually shares most chunks with
+// the next version.
 func (l *ledger) latestText() text {
-	if latest := l.accepted(l.version); latest != nil {
+	if latest := l.acceptedByVersion(l.version); latest != nil {
 		return latest.text
 	}
 
--- a/internal/state/catalog/result.go
+++ b/internal/state/catalog/result.go
@@ -17,7 +17,8 @@
 	Rejected Status = "rejected"
 )
 
-// Winner names the change that made a submission lose its race.
+// Winner describes the change that a submission conflicts with, because it was
+// first.
 type Winner struct {
 	ChangeID string   `cbor:"1,keyasint" json:"change_id"`
 	Author   string   `cbor:"2,keyasint" json:"author"`
@@ -27,9 +28,9 @@
 }
 
 // Result is the answer to one command. Which fields are set depends on the
-// command; Kind is empty if the command was applied or had been before.
+// command; Kind is empty if the command is applied, now or by an earlier copy.
 type Result struct {
-	Index       uint64             `cbor:"1,keyasint,omitempty"` // entry that this answer was first given for
+	Index       uint64             `cbor:"1,keyasint,omitempty"` // log entry of the first command with this answer
 	Kind        Kind               `cbor:"2,keyasint,omitempty"`
 	Detail      string             `cbor:"3,keyasint,omitempty"` // reason of a refusal
 	Environment string             `cbor:"4,keyasint,omitempty"`
@@ -37,7 +38,7 @@
 	Digest      [32]byte           `cbor:"6,keyasint"`
 	Status      Status             `cbor:"7,keyasint,omitempty"` // of the change
 	Signers     []string           `cbor:"8,keyasint,omitempty"` // owners whose signatures the change has
-	Winner      *Winner            `cbor:"9,keyasint,omitempty"` // with KindConflict
+	Winner      *Winner            `cbor:"9,keyasint,omitempty"` // with KindConflict, if there is such a change
 	Incarnation view.Incarnation   `cbor:"10,keyasint,omitempty"`
 	Weight      uint8              `cbor:"11,keyasint,omitempty"`
 	Flapping    bool               `cbor:"12,keyasint,omitempty"` // the announced address restarts too often
@@ -58,8 +59,8 @@
 	return failure
 }
 
-// maxDetailBytes bounds the reason of a refusal, which for a document lists
-// every fault.
+// maxDetailBytes limits the reason of a refusal, which for a document lists every
+// error.
 const maxDetailBytes = 64 << 10
 
 func refuse(kind Kind, format string, arguments ...any) Result {
--- a/internal/state/catalog/rotation.go
+++ b/internal/state/catalog/rotation.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// keyIDs is the number of key IDs. Receivers tell IDs apart modulo 64.
-	keyIDs = 64
-	// keptKeys is the number of fabric keys in a view. Receivers need the newest
-	// three while a rotation spreads; connection IDs of long feeds need the key
-	// that was in use when their flow began.
-	keptKeys = 8
+	// keyIDCount is the number of key IDs. Receivers compare IDs modulo 64.
+	keyIDCount = 64
+	// maxKeys limits the fabric keys in a view. Receivers need the newest three
+	// until every instance has applied a rotation. Connection IDs of long-lived
+	// feeds need the key that was in use when their flow was opened.
+	maxKeys = 8
 )
 
 // rotateKey adds a fabric key as the newest one. A command names the number of
 // rotations before it, so that a resend does not rotate twice.
 func (e *environment) rotateKey(command RotateKey) (Result, bool) {
-	resent := len(e.keys) > 0 && e.keys[0].Secret == command.Secret && command.Rotation+1 == e.rotations
+	isResend := len(e.keys) > 0 && e.keys[0].Secret == command.Secret && command.Rotation+1 == e.rotations
 
 	switch {
-	case resent:
+	case isResend:
 		return e.keyResult(), false
 	case command.Secret == [32]byte{}:
 		return refuse(KindInvalid, "found an empty secret, allowed: 32 random bytes"), false
@@ -31,8 +31,8 @@
 		return refuse(KindReused, "the secret is already in use"), false
 	}
 
-	newest := view.Key{ID: uint8(e.rotations % keyIDs), Secret: command.Secret}
-	e.keys = append([]view.Key{newest}, e.keys[:min(len(e.keys), keptKeys-1)]...)
+	newest := view.Key{ID: uint8(e.rotations % keyIDCount), Secret: command.Secret}
+	e.keys = append([]view.Key{newest}, e.keys[:min(len(e.keys), maxKeys-1)]...)
 	e.rotations++
 	e.affected.keys = true
 
@@ -43,8 +43,8 @@
 	return Result{Rotation: e.rotations, KeyID: e.keys[0].ID}
 }
 
-// Rotations returns how often the fabric key of an environment was rotated,
-// which a RotateKey command states.
+// Rotations returns how often the fabric key of an environment was rotated, for
+// RotateKey.Rotation.
 func (c *Catalog) Rotations(environment string) uint64 {
 	if env, ok := c.environments[environment]; ok {
 		return env.rotations
--- a/internal/state/catalog/snapshot.go
+++ b/internal/state/catalog/snapshot.go
@@ -12,7 +12,7 @@
 // snapshotFormat is the version byte of a snapshot.
 const snapshotFormat = 1
 
-// snapshot is the encoded state. Everything that Catalog holds beyond it is
+// snapshot is the encoded form of a Catalog. All other fields of a Catalog are
 // derived from it.
 type snapshot struct {
 	Format       uint8              `cbor:"1,keyasint"`
@@ -38,18 +38,18 @@
 type environmentState struct {
 	Name            string         `cbor:"1,keyasint"`
 	Index           uint64         `cbor:"2,keyasint"`
-	NextService     uint32         `cbor:"3,keyasint"`
+	NextServiceID   uint32         `cbor:"3,keyasint"`
 	NextIncarnation uint32         `cbor:"4,keyasint"`
 	Services        []view.Service `cbor:"5,keyasint"`
 	Members         []member       `cbor:"6,keyasint"`
-	Ended           []BootID       `cbor:"7,keyasint"`
+	RetiredBoots    []BootID       `cbor:"7,keyasint"`
 	Starts          []start        `cbor:"8,keyasint"`
 	Keys            []view.Key     `cbor:"9,keyasint"`
 	Rotations       uint64         `cbor:"10,keyasint"`
 }
 
-// Snapshot encodes the state. Equal states have equal bytes. The bytes hold
-// the fabric secrets.
+// Snapshot encodes the state. Equal states have equal bytes. The bytes contain the
+// secrets of the fabric keys.
 func (c *Catalog) Snapshot() ([]byte, error) {
 	chunks := chunkTable{numbers: map[*chunk]uint32{}}
 	state := snapshot{
@@ -122,8 +122,8 @@
 
 func (e *environment) state() environmentState {
 	state := environmentState{
-		Name: e.name, Index: e.index, NextService: e.nextService, NextIncarnation: e.nextIncarnation,
-		Services: e.services, Members: make([]member, 0, len(e.members)), Ended: e.ended.order,
+		Name: e.name, Index: e.index, NextServiceID: e.nextServiceID, NextIncarnation: e.nextIncarnation,
+		Services: e.services, Members: make([]member, 0, len(e.members)), RetiredBoots: e.retired.order,
 		Starts: e.starts.order, Keys: e.keys, Rotations: e.rotations,
 	}
 
@@ -136,7 +136,7 @@
 	return state
 }
 
-// Restore replaces the state by that of a snapshot. Bytes that are not a
+// Restore replaces the state with that of a snapshot. Bytes that are not a
 // consistent snapshot are refused with KindEncoding and change nothing.
 func (c *Catalog) Restore(encoded []byte) error {
 	var state snapshot
@@ -194,10 +194,10 @@
 
 	for _, a := range s.Answers {
 		if a == nil || restored.answers.byID[a.ID] != nil {
-			return nil, errors.New("an answer is empty or there twice")
+			return nil, errors.New("an answer is empty or duplicated")
 		}
 
-		restored.answers.add(a.ID, a.Contents, a.Result)
+		restored.answers.add(a.ID, a.CommandHash, a.Result)
 	}
 
 	return restored, restored.checkRestored()
@@ -206,7 +206,7 @@
 func (c *Catalog) restoreLedger(state ledgerState, chunks []*chunk) error {
 	ledger, ok := c.ledgers[state.Name]
 	if !ok || ledger.changes != nil || ledger.version != 0 {
-		return errors.New("the name is unknown or there twice")
+		return errors.New("the name is unknown or duplicated")
 	}
 
 	ledger.version = state.Version
@@ -240,18 +240,18 @@
 
 func (c *Catalog) restoreEnvironment(state environmentState) error {
 	env, ok := c.environments[state.Name]
-	if !ok || env.nextService != 1 || env.nextIncarnation != 1 || env.services != nil {
-		return errors.New("the name is unknown or there twice")
+	if !ok || env.nextServiceID != 1 || env.nextIncarnation != 1 || env.services != nil {
+		return errors.New("the name is unknown or duplicated")
 	}
 
 	env.index = state.Index
-	env.nextService, env.nextIncarnation = state.NextService, state.NextIncarnation
+	env.nextServiceID, env.nextIncarnation = state.NextServiceID, state.NextIncarnation
 	env.keys, env.rotations = state.Keys, state.Rotations
 	env.indexServices(state.Services)
 
 	ids := map[view.ServiceID]bool{}
 	for _, service := range env.services {
-		if uint32(service.ID) >= env.nextService || service.ID == 0 {
+		if uint32(service.ID) >= env.nextServiceID || service.ID == 0 {
 			return fmt.Errorf("service %q has ID %d, which was not assigned", service.Name, service.ID)
 		}
 
@@ -270,13 +270,13 @@
 		env.put(m)
 	}
 
-	if len(env.members) != len(state.Members) || len(env.boots) != len(env.members) ||
-		len(env.addresses) != len(env.members) {
+	if len(env.members) != len(state.Members) || len(env.byBoot) != len(env.members) ||
+		len(env.byAddress) != len(env.members) {
 		return errors.New("two members have one incarnation, boot ID or address")
 	}
 
-	for _, boot := range state.Ended {
-		env.ended.add(boot)
+	for _, boot := range state.RetiredBoots {
+		env.retired.add(boot)
 	}
 
 	for _, s := range state.Starts {
@@ -292,7 +292,7 @@
 // break an invariant.
 func (c *Catalog) checkRestored() error {
 	for name, ledger := range c.ledgers {
-		if latest := ledger.accepted(ledger.version); ledger.version > 0 && (latest == nil || !latest.intact()) {
+		if latest := ledger.acceptedByVersion(ledger.version); ledger.version > 0 && (latest == nil || !latest.intact()) {
 			return fmt.Errorf("ledger %q: version %d is missing or does not have its digest", name, ledger.version)
 		}
 
@@ -303,11 +303,11 @@
 
 		if pending.Status != Pending || pending.Version != ledger.version+1 || len(pending.Signatures) > 1 ||
 			!pending.intact() {
-			return fmt.Errorf("ledger %q: the pending change is not one", name)
+			return fmt.Errorf("ledger %q: the pending change is not valid", name)
 		}
 
 		for _, signature := range pending.Signatures {
-			if !c.signed(ledger, signature) {
+			if !c.isValidAcceptance(ledger, signature) {
 				return fmt.Errorf("ledger %q: the signature of %s is not valid", name, signature.Owner)
 			}
 		}
--- a/internal/state/catalog/submit.go
+++ b/internal/state/catalog/submit.go
@@ -10,8 +10,8 @@
 	"jayspindle/internal/state/view"
 )
 
-// These bounds equal control.MaxChangeID and control.MaxReason, which this
-// lower layer cannot import.
+// These limits equal control.MaxChangeID and control.MaxReason, which this lower
+// layer cannot import.
 const (
 	maxIDBytes     = 64
 	maxReasonBytes = 1024
@@ -33,13 +33,13 @@
 	return true
 }
 
-// proposal is what submit, promote and replace-owner have in common.
+// proposal holds the common parameters of Submit, Promote and ReplaceOwner.
 type proposal struct {
-	environment      string
-	base             uint64
-	id               string
-	author, reason   string
-	digest, contents [32]byte // of the bytes, and of the whole command
+	environment         string
+	base                uint64
+	id                  string
+	author, reason      string
+	digest, commandHash [32]byte // digest of the document; hash of the whole command
 }
 
 func (c *Catalog) submit(at entry, command Submit) (Result, bool) {
@@ -54,7 +54,7 @@
 		author:      command.Author,
 		reason:      command.Reason,
 		digest:      document.Digest(command.Document),
-		contents:    hashCommand(command),
+		commandHash: hashCommand(command),
 	}, func() (text, *Result) { return c.checkDocument(command.Environment, command.Document) })
 }
 
@@ -66,9 +66,9 @@
 		author:      command.Author,
 		reason:      command.Reason,
 		digest:      command.Digest,
-		contents:    hashCommand(command),
+		commandHash: hashCommand(command),
 	}, func() (text, *Result) {
-		trial := c.ledgers[Trial].acceptedDigest(command.Digest)
+		trial := c.ledgers[Trial].acceptedByDigest(command.Digest)
 		if trial == nil || trial.text == nil {
 			refusal := refuse(KindNotInTrial, "digest %x was not accepted in trial, or its bytes are no longer kept",
 				command.Digest)
@@ -80,8 +80,8 @@
 	})
 }
 
-// hashCommand hashes a command, to detect that a change ID is used again for
-// another change.
+// hashCommand hashes a command, to detect that a change ID is reused for another
+// change.
 func hashCommand(command any) [32]byte {
 	encoded, err := canonical.Marshal(command)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return sha256.Sum256(encoded)
 }
 
-// propose makes a change pending. The check is called last and returns the
-// bytes to keep or a refusal.
+// propose makes a change pending. It calls check last, which returns the text to
+// keep or a refusal.
 func (c *Catalog) propose(at entry, p proposal, check func() (text, *Result)) (Result, bool) {
 	if !validID(p.id) {
 		return refuse(KindInvalid, "found change ID %q, allowed: 1 to %d printable ASCII characters",
@@ -100,7 +100,7 @@
 	}
 
 	if first, ok := c.answers.byID[p.id]; ok {
-		if first.Contents != p.contents {
+		if first.CommandHash != p.commandHash {
 			return refuse(KindReused, "change ID %q belongs to another change", p.id), false
 		}
 
@@ -117,9 +117,9 @@
 	}
 
 	ledger := c.ledgers[p.environment]
-	if result, lost := ledger.conflict(p); lost {
+	if result, conflicts := ledger.conflict(p); conflicts {
 		result.Index = at.index
-		c.answers.add(p.id, p.contents, result)
+		c.answers.add(p.id, p.commandHash, result)
 
 		return result, true
 	}
@@ -136,13 +136,13 @@
 
 	result := ledger.status(ledger.pending)
 	result.Index = at.index
-	c.answers.add(p.id, p.contents, result)
+	c.answers.add(p.id, p.commandHash, result)
 
 	return result, true
 }
 
-// conflict reports whether another change was first: one that is pending, or
-// one that was accepted since the author looked.
+// conflict reports whether another change was first: one that is pending, or one
+// that was accepted after the base version of the proposal.
 func (l *ledger) conflict(p proposal) (Result, bool) {
 	winner := l.pending
 	if winner == nil {
@@ -150,8 +150,8 @@
 			return Result{}, false
 		}
 
-		if winner = l.accepted(p.base + 1); winner == nil {
-			winner = l.accepted(l.version)
+		if winner = l.acceptedByVersion(p.base + 1); winner == nil {
+			winner = l.acceptedByVersion(l.version)
 		}
 	}
 
@@ -179,8 +179,8 @@
 	return i, i >= 0
 }
 
-// checkDocument checks the bytes against the schema and against what is in
-// force in the environment.
+// checkDocument checks a document against the schema and against what is in force
+// in the environment.
 func (c *Catalog) checkDocument(environment string, data []byte) (text, *Result) {
 	digest := document.Digest(data)
 	ledger := c.ledgers[environment]
@@ -189,7 +189,7 @@
 		return nil, refusal
 	}
 
-	if environment == Production && c.ledgers[Trial].acceptedDigest(digest) == nil {
+	if environment == Production && c.ledgers[Trial].acceptedByDigest(digest) == nil {
 		refusal := refuse(KindNotInTrial, "digest %x was not accepted in trial", digest)
 
 		return nil, &refusal
@@ -232,9 +232,8 @@
 	return nil
 }
 
-// parse returns the services of a document. The bytes are parsed when they
-// are submitted and again when they are accepted or promoted, which the cache
-// avoids.
+// parse returns the services of a document. Its cache avoids parsing the bytes
+// again when they are accepted or promoted after their submission.
 func (c *Catalog) parse(data []byte, digest [32]byte) ([]view.Service, error) {
 	for _, cached := range c.parsed {
 		if cached.digest == digest && cached.services != nil {
@@ -242,13 +241,13 @@
 		}
 	}
 
-	fresh, err := document.Parse("document", data)
+	parsed, err := document.Parse("document", data)
 	if err != nil {
 		return nil, err
 	}
 
 	c.parsed[1] = c.parsed[0]
-	c.parsed[0] = parsedDocument{digest: digest, services: fresh.Services()}
+	c.parsed[0] = parsedDocument{digest: digest, services: parsed.Services()}
 
 	return c.parsed[0].services, nil
 }
@@ -264,7 +263,7 @@
 		author:      command.Author,
 		reason:      command.Reason,
 		digest:      digest,
-		contents:    hashCommand(command),
+		commandHash: hashCommand(command),
 	}, func() (text, *Result) {
 		if refusal := c.ledgers[Owners].checkRejected(digest); refusal != nil {
 			return nil, refusal
