--- a/internal/state/failure/failure.go
+++ b/internal/state/failure/failure.go
@@ -1,10 +1,10 @@
-// Package failure is the shape that the error types of all packages share: the
+// Package failure provides the error type that all packages share. It holds the
 // package, the operation that failed, a kind that callers can act on, and the
 // cause.
 //
 // # Usage
 //
-// Each package declares its kinds and gives the shape a name of its own:
+// Each package declares its kinds and an alias for its error type:
 //
 //	type Kind string
 //
@@ -16,7 +16,7 @@
 //		return failure.New("settings", operation, kind, err)
 //	}
 //
-// Callers use errors.As with the named type:
+// Callers use errors.As with the alias:
 //
 //	var failed *settings.Error
 //	if errors.As(err, &failed) && failed.Kind() == settings.KindFile {
@@ -28,20 +28,20 @@
 
 // Error is an error with the operation that failed and its kind.
 type Error[K ~string] struct {
-	scope     string
-	operation string
-	kind      K
-	err       error
+	packageName string
+	operation   string
+	kind        K
+	err         error
 }
 
-// New returns an error of the package named by scope.
-func New[K ~string](scope, operation string, kind K, err error) *Error[K] {
-	return &Error[K]{scope: scope, operation: operation, kind: kind, err: err}
+// New returns an error of the package with the given name.
+func New[K ~string](packageName, operation string, kind K, err error) *Error[K] {
+	return &Error[K]{packageName: packageName, operation: operation, kind: kind, err: err}
 }
 
 // Error returns the package, the operation, the kind and the cause.
 func (e *Error[K]) Error() string {
-	return fmt.Sprintf("%s: %s: %s: %v", e.scope, e.operation, e.kind, e.err)
+	return fmt.Sprintf("%s: %s: %s: %v", e.packageName, e.operation, e.kind, e.err)
 }
 
 // Operation returns the operation that failed.
