--- a/internal/state/invariant/invariant.go
+++ b/internal/state/invariant/invariant.go
@@ -1,11 +1,11 @@
-// Package invariant asserts inside the running program what must always hold.
+// Package invariant checks at run time the conditions that must always hold.
 //
 // # Usage
 //
-//	invariant.Assert(term >= stored, "raft: the term never falls",
+//	invariant.Assert(term >= stored, "raft: the term never decreases",
 //		slog.Uint64("term", term), slog.Uint64("stored", stored))
 //
-// A violation panics with a *ViolationError: continuing could break a promise to
+// A violation panics with a *ViolationError: continuing could break a guarantee to
 // callers or co-owners, and a restarted process recovers from durable state.
 package invariant
 
@@ -21,7 +21,7 @@
 	attributes []slog.Attr
 }
 
-// Name returns the invariant that does not hold.
+// Name returns the invariant that was violated.
 func (v *ViolationError) Name() string { return v.name }
 
 // Error returns the invariant and the attributes that show the violation.
