--- a/internal/state/catalog/change_test.go
+++ b/internal/state/catalog/change_test.go
@@ -18,16 +18,16 @@
 	digest := document.Digest(data)
 	l.mustApply(submitCommand(Trial, 0, "c1", data))
 
-	swapped := signCommand("ann", Trial, 1, digest)
-	swapped.Sign.Owner = "bob"
-	rejection := signCommand("ann", Trial, 1, digest)
-	rejection.Sign.Signature = document.Sign(keys["ann"], Trial, 1, digest, document.Reject)
-	stranger := signCommand("ann", Trial, 1, digest)
-	stranger.Sign.Owner = "eve"
-
-	l.mustRefuse(KindSignature, swapped)
-	l.mustRefuse(KindSignature, rejection)
-	l.mustRefuse(KindOwner, stranger)
+	wrongOwner := signCommand("ann", Trial, 1, digest)
+	wrongOwner.Sign.Owner = "bob"
+	wrongDecision := signCommand("ann", Trial, 1, digest)
+	wrongDecision.Sign.Signature = document.Sign(keys["ann"], Trial, 1, digest, document.Reject)
+	unknownOwner := signCommand("ann", Trial, 1, digest)
+	unknownOwner.Sign.Owner = "eve"
+
+	l.mustRefuse(KindSignature, wrongOwner)
+	l.mustRefuse(KindSignature, wrongDecision)
+	l.mustRefuse(KindOwner, unknownOwner)
 	l.mustRefuse(KindNotPending, signCommand("ann", Trial, 2, digest))
 	l.mustRefuse(KindNotPending, signCommand("ann", Production, 1, digest))
 	l.mustRefuse(KindNotPending, signCommand("ann", Trial, 1, document.Digest(other)))
@@ -128,8 +128,8 @@
 	l.mustRefuse(KindUnknownService, announceCommand("s1", 2, 3))
 
 	l.mustAccept(Trial, newDocument(2, "with s1"))
-	again, _ := l.state.View(Trial).ServiceByName("s1")
-	is.True(again.ID > old.ID) // an ID is never reused
+	readded, _ := l.state.View(Trial).ServiceByName("s1")
+	is.True(readded.ID > old.ID) // an ID is never reused
 
 	l.mustRefuse(KindInvalid,
 		submitCommand(Trial, 3, "b", replaceOnce(newDocument(2, "x"), "slots: 3", "slots: 3, buckets: 64")))
@@ -182,11 +182,11 @@
 	is.Equal(len(history), maxKeptDocuments+3)
 	is.Equal(history[0].Version, uint64(maxKeptDocuments+3))
 
-	forgotten, _ := l.state.ExplainVersion(Trial, 3)
+	dropped, _ := l.state.ExplainVersion(Trial, 3)
 	kept, _ := l.state.ExplainVersion(Trial, 4)
-	is.Equal(forgotten.Document, nil)
-	is.Equal(forgotten.Author, "ann")
+	is.Equal(dropped.Document, nil)
+	is.Equal(dropped.Author, "ann")
 	is.Equal(kept.Document, newDocument(1, "3"))
-	is.Equal(ed25519.Verify(publicKey(1), document.SignedText(Trial, 3, forgotten.Digest, document.Accept),
-		forgotten.Signatures[0].Signature), true)
+	is.Equal(ed25519.Verify(publicKey(1), document.SignedText(Trial, 3, dropped.Digest, document.Accept),
+		dropped.Signatures[0].Signature), true)
 }
--- a/internal/state/catalog/decide.go
+++ b/internal/state/catalog/decide.go
@@ -24,7 +24,7 @@
 	}
 
 	if found := ledger.findSigned(command, decision); found != nil {
-		return ledger.status(found), false
+		return ledger.changeResult(found), false
 	}
 
 	pending := ledger.pending
@@ -33,7 +33,7 @@
 			command.Version, command.Environment, command.Digest), false
 	}
 
-	i, ok := c.owner(command.Owner)
+	i, ok := c.ownerIndex(command.Owner)
 	if !ok {
 		return refuse(KindOwner, "%q is not an owner", command.Owner), false
 	}
@@ -50,7 +50,7 @@
 	}
 
 	if decision == document.Accept && pending.signedBy(command.Owner) {
-		return ledger.status(pending), false
+		return ledger.changeResult(pending), false
 	}
 
 	pending.Signatures = append(pending.Signatures, Signature{
@@ -58,14 +58,14 @@
 	})
 
 	if decision == document.Reject {
-		return ledger.status(ledger.conclude(Rejected, at.now)), true
+		return ledger.changeResult(ledger.conclude(Rejected, at.now)), true
 	}
 
 	if len(pending.Signatures) == len(c.owners) {
 		c.accept(at, ledger)
 	}
 
-	return ledger.status(pending), true
+	return ledger.changeResult(pending), true
 }
 
 // findSigned returns the change that already has the signature of the command, or
@@ -128,7 +128,7 @@
 // isValidAcceptance reports whether the signature is a valid acceptance of the
 // pending change by a current owner.
 func (c *Catalog) isValidAcceptance(ledger *ledger, signature Signature) bool {
-	i, ok := c.owner(signature.Owner)
+	i, ok := c.ownerIndex(signature.Owner)
 
 	return ok && signature.Decision == document.Accept && bytes.Equal(c.owners[i].Key, signature.Key) &&
 		document.Verify(signature.Key, ledger.name, ledger.pending.Version, ledger.pending.Digest,
@@ -149,7 +149,7 @@
 		}
 
 		ledger.pending.Signatures = slices.DeleteFunc(ledger.pending.Signatures, func(signature Signature) bool {
-			i, ok := c.owner(signature.Owner)
+			i, ok := c.ownerIndex(signature.Owner)
 
 			return !ok || !bytes.Equal(c.owners[i].Key, signature.Key)
 		})
--- a/internal/state/catalog/fixture_test.go
+++ b/internal/state/catalog/fixture_test.go
@@ -198,10 +198,10 @@
 
 	is := is.New(t)
 	encoded := takeSnapshot(t, state)
-	copied := restoreCatalog(t, encoded)
-	is.True(bytes.Equal(takeSnapshot(t, copied), encoded)) // a restored state has the same bytes
+	restored := restoreCatalog(t, encoded)
+	is.True(bytes.Equal(takeSnapshot(t, restored), encoded)) // a restored state has the same bytes
 
-	incremental, rebuilt := state.View(environment), copied.View(environment)
+	incremental, rebuilt := state.View(environment), restored.View(environment)
 	is.Equal(incremental.Position(), rebuilt.Position())
 	is.Equal(incremental.Digest(), rebuilt.Digest()) // digest of the incremental view
 	is.True(slices.Equal(incremental.Agents(), rebuilt.Agents()))
--- a/internal/state/catalog/snapshot.go
+++ b/internal/state/catalog/snapshot.go
@@ -292,7 +292,8 @@
 // break an invariant.
 func (c *Catalog) checkRestored() error {
 	for name, ledger := range c.ledgers {
-		if latest := ledger.acceptedByVersion(ledger.version); ledger.version > 0 && (latest == nil || !latest.intact()) {
+		if latest := ledger.acceptedByVersion(ledger.version); ledger.version > 0 &&
+			(latest == nil || !latest.matchesDigest()) {
 			return fmt.Errorf("ledger %q: version %d is missing or does not have its digest", name, ledger.version)
 		}
 
@@ -302,7 +303,7 @@
 		}
 
 		if pending.Status != Pending || pending.Version != ledger.version+1 || len(pending.Signatures) > 1 ||
-			!pending.intact() {
+			!pending.matchesDigest() {
 			return fmt.Errorf("ledger %q: the pending change is not valid", name)
 		}
 
@@ -335,6 +336,6 @@
 	return c.environments[name].checkServices(services)
 }
 
-func (c *change) intact() bool {
+func (c *change) matchesDigest() bool {
 	return document.Digest(c.text.bytes()) == c.Digest
 }
--- a/internal/state/catalog/submit.go
+++ b/internal/state/catalog/submit.go
@@ -107,7 +107,7 @@
 		return first.Result, false
 	}
 
-	if _, ok := c.owner(p.author); !ok {
+	if _, ok := c.ownerIndex(p.author); !ok {
 		return refuse(KindOwner, "author %q is not an owner", p.author), false
 	}
 
@@ -134,7 +134,7 @@
 		Status: Pending, Submitted: at.now, text: kept,
 	}
 
-	result := ledger.status(ledger.pending)
+	result := ledger.changeResult(ledger.pending)
 	result.Index = at.index
 	c.answers.add(p.id, p.commandHash, result)
 
@@ -166,14 +166,14 @@
 	return result, true
 }
 
-func (l *ledger) status(change *change) Result {
+func (l *ledger) changeResult(change *change) Result {
 	return Result{
 		Environment: l.name, Version: change.Version, Digest: change.Digest,
 		Status: change.Status, Signers: change.signers(),
 	}
 }
 
-func (c *Catalog) owner(name string) (int, bool) {
+func (c *Catalog) ownerIndex(name string) (int, bool) {
 	i := slices.IndexFunc(c.owners[:], func(owner Owner) bool { return owner.Name == name })
 
 	return i, i >= 0
@@ -300,7 +300,7 @@
 		return c.owners, err
 	}
 
-	i, ok := c.owner(lines[2])
+	i, ok := c.ownerIndex(lines[2])
 	if !ok {
 		return c.owners, fmt.Errorf("owner %q does not exist", lines[2])
 	}
