--- a/internal/state/wal/bench_test.go
+++ b/internal/state/wal/bench_test.go
@@ -10,7 +10,7 @@
 	"jayspindle/internal/state/wal"
 )
 
-func openReal(b *testing.B, name string) *wal.Log {
+func openOnDisk(b *testing.B, name string) *wal.Log {
 	log, err := wal.Open(name)
 	is.New(b).NoErr(err)
 
@@ -23,7 +23,7 @@
 		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) {
 			is := is.New(b)
 			name := filepath.Join(b.TempDir(), "data")
-			log := openReal(b, name)
+			log := openOnDisk(b, name)
 
 			for index := uint64(1); index <= count; index += 10 {
 				is.NoErr(log.Save(nil, entries(index, 10, 1)))
@@ -32,7 +32,7 @@
 			is.NoErr(log.Close())
 
 			for b.Loop() {
-				log := openReal(b, name)
+				log := openOnDisk(b, name)
 				is.Equal(len(log.Stored().Entries), int(count))
 				is.NoErr(log.Close())
 			}
@@ -40,11 +40,11 @@
 	}
 }
 
-// BenchmarkSaveSnapshot measures a snapshot of 4 MiB, which is a full view of the
-// present deployments many times over.
+// BenchmarkSaveSnapshot measures a snapshot of 4 MiB, which is many times the size
+// of a full view in current deployments.
 func BenchmarkSaveSnapshot(b *testing.B) {
 	is := is.New(b)
-	log := openReal(b, filepath.Join(b.TempDir(), "data"))
+	log := openOnDisk(b, filepath.Join(b.TempDir(), "data"))
 	data := make([]byte, 4<<20)
 
 	b.SetBytes(int64(len(data)))
--- a/internal/state/wal/error.go
+++ b/internal/state/wal/error.go
@@ -8,12 +8,12 @@
 // The kinds of errors of this package.
 const (
 	KindCorrupt    Kind = "corrupt"    // stored bytes are damaged or misplaced
-	KindFailed     Kind = "failed"     // an earlier or this write failed, open the directory again
+	KindFailed     Kind = "failed"     // this or an earlier write failed; the directory has to be reopened
 	KindFiles      Kind = "files"      // a file operation failed before anything was written
 	KindIdentity   Kind = "identity"   // the directory belongs to another group or generation
 	KindLocked     Kind = "locked"     // another process has the directory open
 	KindPermission Kind = "permission" // the directory is accessible to others
-	KindTooLarge   Kind = "too large"  // a record or snapshot exceeds its bound
+	KindTooLarge   Kind = "too large"  // a record or snapshot exceeds its size limit
 )
 
 // Error is the error type of this package.
@@ -29,7 +29,7 @@
 	return &Error{operation: operation, kind: kind, file: file, offset: offset, err: err}
 }
 
-// Error returns the operation, the kind, the place and the cause.
+// Error returns the operation, the kind, the file, the offset and the cause.
 func (e *Error) Error() string {
 	return fmt.Sprintf("wal: %s: %s: file %s offset %d: %v", e.operation, e.kind, e.file, e.offset, e.err)
 }
@@ -43,7 +43,7 @@
 // File returns the name of the file.
 func (e *Error) File() string { return e.file }
 
-// Offset returns the offset in bytes of the damaged record in the file.
+// Offset returns the byte offset of the damaged record in the file.
 func (e *Error) Offset() int64 { return e.offset }
 
 // Unwrap returns the cause.
--- a/internal/state/wal/files.go
+++ b/internal/state/wal/files.go
@@ -15,13 +15,14 @@
 	fileMode      = 0o600
 )
 
-// Files are the file operations of a data directory. Tests replace them to
-// lose unsynced writes, cut writes short or fill the disk.
+// Files is the set of file operations on a data directory. Tests replace it to
+// simulate lost unsynced writes, short writes and full disks.
 type Files interface {
 	// MakeDirectory creates a directory with mode 0700, or checks that an
 	// existing one has no permissions for others.
 	MakeDirectory(name string) error
-	// Lock takes an exclusive lock that ends with Close or with the process.
+	// Lock takes an exclusive lock, which is released by Close or when the
+	// process exits.
 	Lock(name string) (io.Closer, error)
 	// List returns the names of the files in a directory, sorted.
 	List(directory string) ([]string, error)
@@ -29,13 +30,13 @@
 	Read(name string) ([]byte, error)
 	// Append opens a file for appending and creates it if it doesn't exist.
 	Append(name string) (File, error)
-	// Truncate cuts a file to size bytes and syncs it.
+	// Truncate truncates a file to size bytes and syncs it.
 	Truncate(name string, size int64) error
-	// Rename replaces newName by oldName.
+	// Rename renames oldName to newName and replaces a file of that name.
 	Rename(oldName, newName string) error
 	// Remove removes a file.
 	Remove(name string) error
-	// SyncDirectory makes created, renamed and removed names durable.
+	// SyncDirectory makes created, renamed and removed directory entries durable.
 	SyncDirectory(name string) error
 }
 
@@ -52,13 +53,15 @@
 type osFiles struct{}
 
 // WithoutModes returns the file operations of the operating system for a file
-// system that does not store permissions: those of the data directory are not
+// system that does not store permissions. The mode of the data directory is not
 // checked.
-func WithoutModes() Files { return modelessFiles{} }
+func WithoutModes() Files { return filesWithoutModes{} }
 
-type modelessFiles struct{ osFiles }
+type filesWithoutModes struct{ osFiles }
 
-func (modelessFiles) MakeDirectory(name string) error { return makeDirectories(filepath.Clean(name)) }
+func (filesWithoutModes) MakeDirectory(name string) error {
+	return makeDirectories(filepath.Clean(name))
+}
 
 func (osFiles) MakeDirectory(name string) error {
 	if err := makeDirectories(filepath.Clean(name)); err != nil {
@@ -77,8 +80,9 @@
 	return nil
 }
 
-// makeDirectories creates a directory and its missing parents. Each new name is
-// synced: otherwise a crash could lose the directory with all synced files in it.
+// makeDirectories creates a directory and its missing parents. It syncs the parent
+// of each new directory: otherwise a crash could lose the directory and the synced
+// files in it.
 func makeDirectories(name string) error {
 	if _, err := os.Stat(name); !errors.Is(err, fs.ErrNotExist) {
 		return err
--- a/internal/state/wal/frame.go
+++ b/internal/state/wal/frame.go
@@ -7,11 +7,11 @@
 	"path/filepath"
 )
 
-// AppendFrame appends a payload with a header that lets NextFrame tell a whole
-// frame from one that a crash has torn. The offset is the place of the frame in
-// its file.
+// AppendFrame appends a payload with a header that lets NextFrame distinguish a
+// complete frame from one that was torn by a crash. The offset is the position of
+// the frame in its file.
 func AppendFrame(buffer []byte, offset int64, payload []byte) ([]byte, error) {
-	framed, err := frame(place{offset: offset}, payload, MaxRecordBytes)
+	framed, err := frame(location{offset: offset}, payload, MaxRecordBytes)
 	if err != nil {
 		return buffer, newError("append", KindTooLarge, "", offset, err)
 	}
@@ -20,9 +20,10 @@
 }
 
 // NextFrame returns the payload of the frame at an offset of a file, and the
-// offset behind it. An error means that the file has no whole frame there.
-func NextFrame(data []byte, offset int64) (payload []byte, end int64, err error) {
-	payload, length, err := unframe(place{offset: offset}, data[offset:], MaxRecordBytes)
+// offset of the next frame. An error means that the file has no complete frame at
+// the offset.
+func NextFrame(data []byte, offset int64) (payload []byte, next int64, err error) {
+	payload, length, err := unframe(location{offset: offset}, data[offset:], MaxRecordBytes)
 	if err != nil {
 		return nil, offset, newError("read", KindCorrupt, "", offset, err)
 	}
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// WriteSync writes data and syncs the file. A write that was cut short is an
-// error, whatever the file says.
+// WriteSync writes data and syncs the file. A short write is an error, even if the
+// file reports none.
 func WriteSync(file File, data []byte) error {
 	written, err := file.Write(data)
 
@@ -75,7 +76,7 @@
 	return file.Sync()
 }
 
-// ReadIfExists returns the contents of a file, none if it does not exist.
+// ReadIfExists returns the contents of a file, or nil if it does not exist.
 func ReadIfExists(files Files, name string) ([]byte, error) {
 	data, err := files.Read(name)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/state/wal/frame_test.go
+++ b/internal/state/wal/frame_test.go
@@ -10,23 +10,23 @@
 	"jayspindle/internal/state/wal"
 )
 
-// cutFile takes one byte less than it gets, and reports no error.
-type cutFile struct{ synced bool }
+// shortWriteFile writes one byte less than requested and reports no error.
+type shortWriteFile struct{ synced bool }
 
-func (*cutFile) Write(data []byte) (int, error) { return len(data) - 1, nil }
+func (*shortWriteFile) Write(data []byte) (int, error) { return len(data) - 1, nil }
 
-func (c *cutFile) Sync() error {
-	c.synced = true
+func (f *shortWriteFile) Sync() error {
+	f.synced = true
 
 	return nil
 }
 
-func (*cutFile) Close() error { return nil }
+func (*shortWriteFile) Close() error { return nil }
 
-// TestWriteSync guards against a write that was cut short and counts as durable.
+// TestWriteSync guards against a short write that is treated as durable.
 func TestWriteSync(t *testing.T) {
 	is := is.New(t)
-	file := &cutFile{}
+	file := &shortWriteFile{}
 
 	is.True(errors.Is(wal.WriteSync(file, []byte("batch")), io.ErrShortWrite))
 	is.True(!file.synced)
--- a/internal/state/wal/identity.go
+++ b/internal/state/wal/identity.go
@@ -17,8 +17,8 @@
 )
 
 // openIdentity reads the identity, or creates it before anything else is
-// written. A directory with a log but without an identity is refused: a new
-// identity must never continue an old replica's log.
+// written. A directory that has a log but no identity is refused: a replica with a
+// new identity must never continue the log of another one.
 func (l *Log) openIdentity(names []string) error {
 	name := l.path(identityName)
 
@@ -26,7 +26,7 @@
 		return l.readIdentity(name)
 	}
 
-	if len(numbered(names, segmentSuffix)) > 0 || len(numbered(names, snapshotSuffix)) > 0 {
+	if len(parseNumbers(names, segmentSuffix)) > 0 || len(parseNumbers(names, snapshotSuffix)) > 0 {
 		return newError("open", KindCorrupt, name, 0, errors.New("identity is missing"))
 	}
 
@@ -49,9 +49,9 @@
 		return newError("open", KindFiles, name, 0, err)
 	}
 
-	payload, _, err := unframe(place{}, encoded, maxIdentityBytes)
+	payload, _, err := unframe(location{}, encoded, maxIdentityBytes)
 	if err == nil {
-		err = decoding.Unmarshal(payload, &l.identity)
+		err = decMode.Unmarshal(payload, &l.identity)
 	}
 
 	if err == nil && (l.identity.Format != identityFormat || l.identity.Replica == 0) {
@@ -71,7 +71,7 @@
 		return newError("identity", KindTooLarge, l.path(identityName), 0, err)
 	}
 
-	encoded, err := frame(place{}, payload, maxIdentityBytes)
+	encoded, err := frame(location{}, payload, maxIdentityBytes)
 	if err != nil {
 		return newError("identity", KindTooLarge, l.path(identityName), 0, err)
 	}
@@ -85,8 +85,9 @@
 	return nil
 }
 
-// Join records the group that the replica belongs to. A replica never changes
-// its group, and the generation never falls: both are errors of KindIdentity.
+// Join records the group that the replica belongs to. It returns an error of
+// KindIdentity if the replica belongs to another group or the generation is lower
+// than the recorded one.
 func (l *Log) Join(cluster ClusterID, generation uint64) error {
 	if l.failed != nil {
 		return newError("join", KindFailed, l.directory, 0, l.failed)
--- a/internal/state/wal/replay.go
+++ b/internal/state/wal/replay.go
@@ -1,26 +1,27 @@
 package wal
 
-// replay follows the records of a log. Reading and writing use the same rules,
-// so that Save accepts exactly what Open can read.
+// replay tracks the state of the log while its records are read and written. Both
+// directions use the same rules, so that Save accepts exactly what Open can read.
 type replay struct {
-	hardState HardState
-	marker    uint64  // index of the newest saved snapshot
-	base      uint64  // index that precedes entries
-	baseTerm  uint64  // term of the snapshot at base
-	matched   bool    // the log contained the snapshot's last entry
-	entries   []Entry // while reading
-	terms     []uint64
-	reading   bool
+	hardState     HardState
+	snapshotIndex uint64  // index of the newest saved snapshot
+	base          uint64  // index before the first entry
+	baseTerm      uint64  // term of the snapshot at base
+	matched       bool    // the log contained the snapshot's last entry
+	entries       []Entry // filled only while reading
+	terms         []uint64
+	reading       bool
 }
 
-// start prepares reading a log whose entries up to the snapshot are covered.
+// start prepares for reading a log whose entries up to the snapshot's index are
+// covered by the snapshot.
 func (r *replay) start(snapshot *Snapshot) {
 	*r = replay{base: snapshot.Index, baseTerm: snapshot.Term, reading: true}
 }
 
 func (r *replay) last() uint64 { return r.base + uint64(len(r.terms)) }
 
-// apply checks a record while reading.
+// apply checks a record that is read and applies it to the entries.
 func (r *replay) apply(b *batch) error {
 	for _, entry := range b.Entries {
 		if entry.Index > r.last()+1 {
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// add appends an entry and drops those that it replaces.
+// add appends an entry and drops the entries from its index on, which it replaces.
 func (r *replay) add(entry Entry) {
 	if entry.Index <= r.base {
 		r.truncate(r.base + 1)
@@ -55,7 +56,7 @@
 	}
 }
 
-// truncate drops the entries from index on.
+// truncate drops the entries from the given index on.
 func (r *replay) truncate(index uint64) {
 	keep := index - r.base - 1
 	if keep >= uint64(len(r.terms)) {
@@ -69,14 +70,15 @@
 	}
 }
 
-// note updates what is known after a record was read or written.
-func (r *replay) note(current *segment, b *batch) {
+// update applies the hard state, the snapshot marker and the entry indexes of a
+// record that was read or written.
+func (r *replay) update(current *segment, b *batch) {
 	if b.HardState != nil {
 		r.hardState = *b.HardState
 	}
 
 	if b.Marker != nil {
-		r.marker = max(r.marker, b.Marker.Index)
+		r.snapshotIndex = max(r.snapshotIndex, b.Marker.Index)
 	}
 
 	for _, entry := range b.Entries {
@@ -88,11 +90,12 @@
 	}
 }
 
-// finish ends reading and returns the entries behind the snapshot. A snapshot
-// whose marker is missing was saved right before a crash: without its last
-// entry in the log, the entries behind it may conflict with it.
+// finish ends reading and returns the entries after the snapshot. If the marker
+// of a snapshot is missing, a crash followed the saving of the snapshot. Unless the
+// log contains the last entry of such a snapshot, the entries after it may conflict
+// with it and are dropped.
 func (r *replay) finish() []Entry {
-	if r.marker < r.base && !r.matched {
+	if r.snapshotIndex < r.base && !r.matched {
 		r.truncate(r.base + 1)
 	}
 
--- a/internal/state/wal/segment.go
+++ b/internal/state/wal/segment.go
@@ -18,12 +18,13 @@
 	return l.path(fmt.Sprintf("%016x%s", sequence, segmentSuffix))
 }
 
-func (l *Log) place(sequence uint64, offset int64) place {
-	return place{replica: l.identity.Replica, sequence: sequence, offset: offset}
+func (l *Log) location(sequence uint64, offset int64) location {
+	return location{replica: l.identity.Replica, sequence: sequence, offset: offset}
 }
 
-// numbered returns the numbers in the names with a suffix, ascending like names.
-func numbered(names []string, suffix string) []uint64 {
+// parseNumbers returns the numbers in the file names that end in suffix, in the
+// order of names.
+func parseNumbers(names []string, suffix string) []uint64 {
 	var numbers []uint64
 
 	for _, name := range names {
@@ -38,7 +39,7 @@
 	return numbers
 }
 
-// removeTemporary removes what an interrupted replaceFile left.
+// removeTemporary removes the files that an interrupted replaceFile left behind.
 func (l *Log) removeTemporary(names []string) error {
 	for _, name := range names {
 		if !strings.HasSuffix(name, temporarySuffix) {
@@ -56,7 +57,7 @@
 func (l *Log) openSegments(names []string) error {
 	l.replay.start(&l.stored.Snapshot)
 
-	sequences := numbered(names, segmentSuffix)
+	sequences := parseNumbers(names, segmentSuffix)
 	for i, sequence := range sequences {
 		if i > 0 && sequence != sequences[i-1]+1 {
 			return newError("open", KindCorrupt, l.segmentPath(sequence-1), 0, errors.New("segment is missing"))
@@ -67,8 +68,8 @@
 		}
 	}
 
-	if l.replay.marker > l.stored.Snapshot.Index {
-		return newError("open", KindCorrupt, l.snapshotPath(l.replay.marker), 0, errors.New("snapshot is missing"))
+	if l.replay.snapshotIndex > l.stored.Snapshot.Index {
+		return newError("open", KindCorrupt, l.snapshotPath(l.replay.snapshotIndex), 0, errors.New("snapshot is missing"))
 	}
 
 	return nil
@@ -86,24 +87,24 @@
 	current := segment{sequence: sequence}
 
 	for current.size < int64(len(data)) {
-		at := l.place(sequence, current.size)
+		at := l.location(sequence, current.size)
 		rest := data[current.size:]
 
-		b, end, err := decodeRecord(at, rest)
+		b, size, err := decodeRecord(at, rest)
 		if err == nil {
 			err = l.replay.apply(b)
 		}
 
 		if err != nil {
-			if last && torn(at, rest, end, err) {
+			if last && isTorn(at, rest, size, err) {
 				break
 			}
 
 			return newError("open", KindCorrupt, name, current.size, err)
 		}
 
-		current.size += end
-		l.replay.note(&current, b)
+		current.size += size
+		l.replay.update(&current, b)
 	}
 
 	if current.size < int64(len(data)) {
@@ -117,20 +118,21 @@
 	return nil
 }
 
-// torn tells a record that a crash interrupted from a damaged one. Save syncs a
-// record before it writes the next, so no other header follows a torn record.
-func torn(at place, rest []byte, end int64, err error) bool {
-	if !errors.Is(err, errCut) && !errors.Is(err, errChecksum) {
+// isTorn reports whether the rest of a segment is a record that a crash interrupted,
+// as opposed to a damaged one. Save syncs a record before it writes the next, so no
+// other header follows a torn record.
+func isTorn(at location, rest []byte, size int64, err error) bool {
+	if !errors.Is(err, errTruncated) && !errors.Is(err, errChecksum) {
 		return false
 	}
 
-	if end > 0 {
-		return end >= int64(len(rest))
+	if size > 0 {
+		return size >= int64(len(rest))
 	}
 
 	limit := headerBytes + MaxRecordBytes
 	if at.offset == 0 {
-		limit = maxSegmentHeaderBytes // more means that the segment belongs elsewhere
+		limit = maxSegmentHeaderBytes // a longer segment belongs to another replica or sequence number
 	}
 
 	if len(rest) > limit {
@@ -147,7 +149,7 @@
 }
 
 // openActive opens the last segment for appending, or the first one of a new
-// directory. A crash while a segment was created leaves it empty.
+// directory. A crash during the creation of a segment leaves it empty.
 func (l *Log) openActive() error {
 	if len(l.segments) == 0 {
 		return l.createSegment(1)
@@ -176,9 +178,9 @@
 	name := l.segmentPath(sequence)
 	hardState := l.replay.hardState
 
-	header := &batch{HardState: &hardState, Marker: &marker{Index: l.replay.marker}}
+	header := &batch{HardState: &hardState, Marker: &snapshotMarker{Index: l.replay.snapshotIndex}}
 
-	encoded, err := encodeRecord(l.place(sequence, 0), header)
+	encoded, err := encodeRecord(l.location(sequence, 0), header)
 	if err != nil {
 		return newError("create", KindTooLarge, name, 0, err)
 	}
@@ -216,14 +218,14 @@
 	return l.createSegment(current.sequence + 1)
 }
 
-// Compact removes the oldest segments as long as all their entries are covered
-// by the saved snapshot, and snapshots that a newer one replaced.
+// Compact removes the oldest segments whose entries are all covered by the saved
+// snapshot, and the snapshots that a newer one has replaced.
 func (l *Log) Compact() error {
 	if l.failed != nil {
 		return newError("compact", KindFailed, l.directory, 0, l.failed)
 	}
 
-	covered := l.replay.marker
+	covered := l.replay.snapshotIndex
 	for len(l.segments) > 1 && l.segments[0].lastIndex <= covered {
 		name := l.segmentPath(l.segments[0].sequence)
 		if err := l.files.Remove(name); err != nil {
--- a/internal/state/wal/snapshot.go
+++ b/internal/state/wal/snapshot.go
@@ -9,12 +9,13 @@
 
 const (
 	snapshotSuffix = ".snapshot"
-	// MaxSnapshotBytes bounds an encoded snapshot.
+	// MaxSnapshotBytes limits the size of an encoded snapshot.
 	MaxSnapshotBytes = 256 << 20
 )
 
-// snapshotPlace seeds the checksum of a snapshot file, which any replica reads.
-var snapshotPlace = place{}
+// snapshotLocation seeds the checksum of a snapshot file. It is the same for every
+// replica, because any of them may read the file.
+var snapshotLocation = location{}
 
 // EncodeSnapshot returns the contents of a snapshot file.
 func EncodeSnapshot(snapshot *Snapshot) ([]byte, error) {
@@ -23,24 +24,24 @@
 		return nil, err
 	}
 
-	return frame(snapshotPlace, payload, MaxSnapshotBytes)
+	return frame(snapshotLocation, payload, MaxSnapshotBytes)
 }
 
-// DecodeSnapshot reads the contents of a snapshot file. The error says that the
-// bytes are cut off, damaged or followed by others.
+// DecodeSnapshot decodes the contents of a snapshot file. It returns an error if
+// the data is truncated, damaged or followed by other bytes.
 func DecodeSnapshot(encoded []byte) (*Snapshot, error) {
-	payload, end, err := unframe(snapshotPlace, encoded, MaxSnapshotBytes)
+	payload, size, err := unframe(snapshotLocation, encoded, MaxSnapshotBytes)
 	if err != nil {
 		return nil, err
 	}
 
-	if end != int64(len(encoded)) {
-		return nil, fmt.Errorf("%w: %d bytes follow the snapshot", errChecksum, int64(len(encoded))-end)
+	if size != int64(len(encoded)) {
+		return nil, fmt.Errorf("%w: %d bytes follow the snapshot", errChecksum, int64(len(encoded))-size)
 	}
 
 	snapshot := new(Snapshot)
-	if err := decoding.Unmarshal(payload, snapshot); err != nil {
-		return nil, fmt.Errorf("snapshot does not decode: %w", err)
+	if err := decMode.Unmarshal(payload, snapshot); err != nil {
+		return nil, fmt.Errorf("decoding snapshot: %w", err)
 	}
 
 	return snapshot, nil
@@ -51,7 +52,7 @@
 }
 
 func (l *Log) openSnapshot(names []string) error {
-	indexes := numbered(names, snapshotSuffix)
+	indexes := parseNumbers(names, snapshotSuffix)
 	if len(indexes) == 0 {
 		return nil
 	}
@@ -78,15 +79,15 @@
 	return nil
 }
 
-// SaveSnapshot makes a snapshot durable. Log entries up to its index are then
-// covered; the entries behind it are kept if the log contains its last entry
-// and dropped otherwise. A snapshot older than the saved one is ignored.
+// SaveSnapshot makes a snapshot durable. It covers the log entries up to its index;
+// the entries after it are kept if the log contains the snapshot's last entry and
+// dropped otherwise. A snapshot that is not newer than the saved one is ignored.
 func (l *Log) SaveSnapshot(snapshot *Snapshot) error {
 	if l.failed != nil {
 		return newError("snapshot", KindFailed, l.directory, 0, l.failed)
 	}
 
-	if snapshot.Index <= l.replay.marker {
+	if snapshot.Index <= l.replay.snapshotIndex {
 		return nil
 	}
 
@@ -101,7 +102,7 @@
 		return err
 	}
 
-	saved := &marker{Index: snapshot.Index, Reset: !l.replay.contains(snapshot.Index, snapshot.Term)}
+	saved := &snapshotMarker{Index: snapshot.Index, Reset: !l.replay.contains(snapshot.Index, snapshot.Term)}
 	if err := l.append("snapshot", &batch{Marker: saved}); err != nil {
 		return err
 	}
@@ -112,7 +113,7 @@
 
 	l.replay.compact(snapshot.Index, snapshot.Term)
 
-	if !l.taken && len(l.stored.Entries) == 0 {
+	if !l.storedReturned && len(l.stored.Entries) == 0 {
 		l.stored.Snapshot = *snapshot
 	}
 
@@ -126,7 +127,7 @@
 		return newError("compact", KindFiles, l.directory, 0, err)
 	}
 
-	for _, older := range numbered(names, snapshotSuffix) {
+	for _, older := range parseNumbers(names, snapshotSuffix) {
 		if older >= index {
 			continue
 		}
@@ -139,7 +140,8 @@
 	return nil
 }
 
-// replaceFile replaces a file of the directory. A failure ends the log.
+// replaceFile replaces a file of the directory. After a failure the log refuses all
+// further writes.
 func (l *Log) replaceFile(name string, data []byte) error {
 	if err := Replace(l.files, l.directory, filepath.Base(name), data); err != nil {
 		return l.fail("replace", name, err)
--- a/internal/state/wal/types.go
+++ b/internal/state/wal/types.go
@@ -15,7 +15,7 @@
 // String returns the ID as 16 hexadecimal digits.
 func (id ClusterID) String() string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// Identity tells one data directory from every other.
+// Identity identifies a data directory and the group that its replica belongs to.
 type Identity struct {
 	Format     uint8     `cbor:"1,keyasint"`
 	Replica    ReplicaID `cbor:"2,keyasint"`
@@ -23,14 +23,15 @@
 	Generation uint64    `cbor:"4,keyasint"`
 }
 
-// HardState is what a replica must remember across a restart besides its log.
+// HardState is the Raft state, besides the log, that a replica must keep across
+// restarts.
 type HardState struct {
 	Term   uint64    `cbor:"1,keyasint"`
 	Vote   ReplicaID `cbor:"2,keyasint"` // 0 if none in Term
 	Commit uint64    `cbor:"3,keyasint"` // a lower bound of the commit index
 }
 
-// EntryKind tells what an entry carries.
+// EntryKind is the type of an entry's data.
 type EntryKind uint8
 
 // The kinds of entries.
@@ -52,7 +53,7 @@
 type Member struct {
 	ID      ReplicaID `cbor:"1,keyasint"`
 	Address string    `cbor:"2,keyasint"` // IP address and port of its control link
-	Learner bool      `cbor:"3,keyasint"` // receives the log, has no vote
+	Learner bool      `cbor:"3,keyasint"` // receives the log but does not vote
 }
 
 // Snapshot replaces the log up to and including Index.
--- a/internal/state/wal/wal.go
+++ b/internal/state/wal/wal.go
@@ -11,8 +11,8 @@
 // Every Save writes one record and syncs it before it returns. Only the last
 // record can therefore be torn by a crash; Open truncates it. A record that does
 // not match its checksum and is followed by other data is refused with an error
-// that names file and offset. A checksum covers the replica ID, the segment's
-// sequence number and the offset, so that a misplaced record is found.
+// that names file and offset. The checksum covers the replica ID, the segment's
+// sequence number and the offset, so that a misplaced record is detected.
 //
 // # Usage
 //
@@ -24,8 +24,8 @@
 //
 // After a failed write or fsync every operation returns an error of KindFailed:
 // the kernel may have dropped the unsynced pages, so that a repeated fsync could
-// succeed although the data is lost. Opening the directory again reads what is
-// on disk. A Log is used by one goroutine at a time.
+// succeed although the data is lost. Reopening the directory reads what is on
+// disk. A Log is not safe for concurrent use.
 package wal
 
 import (
@@ -39,10 +39,10 @@
 
 const (
 	defaultSegmentBytes = 4 << 20
-	// MaxRecordBytes bounds a record, and so the memory that a damaged length
-	// field can claim.
+	// MaxRecordBytes limits the size of a record, and so the memory that a damaged
+	// length field can cause to be allocated.
 	MaxRecordBytes = 16 << 20
-	entryOverhead  = 32 // bytes of an encoded entry besides its data, at most
+	entryOverhead  = 32 // upper bound of the bytes of an encoded entry besides its data
 )
 
 // Option changes a default of Open.
@@ -51,11 +51,12 @@
 // WithFiles replaces the file operations of the operating system.
 func WithFiles(files Files) Option { return func(l *Log) { l.files = files } }
 
-// WithSegmentBytes sets the size in bytes from which a segment is closed.
+// WithSegmentBytes sets the size in bytes at which a segment is closed and a new
+// one started.
 func WithSegmentBytes(size int64) Option { return func(l *Log) { l.segmentBytes = size } }
 
-// WithReplica sets the identity that a new data directory gets, instead of a
-// random one. An existing directory keeps its identity.
+// WithReplica sets the replica ID of a new data directory, which is random by
+// default. An existing directory keeps its ID.
 func WithReplica(replica ReplicaID) Option { return func(l *Log) { l.newReplica = replica } }
 
 // Log is an open data directory.
@@ -65,14 +66,14 @@
 	segmentBytes int64
 	newReplica   ReplicaID
 
-	lock     io.Closer
-	identity Identity
-	stored   Stored
-	taken    bool // Stored was called
-	replay   replay
-	segments []segment
-	active   File
-	failed   error
+	lock           io.Closer
+	identity       Identity
+	stored         Stored
+	storedReturned bool // Stored was called
+	replay         replay
+	segments       []segment
+	active         File
+	failed         error
 }
 
 // segment describes one segment file.
@@ -125,7 +126,7 @@
 		}
 	}
 
-	interrupted := l.replay.marker < l.stored.Snapshot.Index
+	interrupted := l.replay.snapshotIndex < l.stored.Snapshot.Index
 	matched := l.replay.matched
 	l.stored.Entries = l.replay.finish()
 	l.stored.HardState = l.replay.hardState
@@ -135,29 +136,30 @@
 	}
 
 	// Entries saved from now on must not be mistaken for those before the snapshot.
-	return l.append("open", &batch{Marker: &marker{Index: l.stored.Snapshot.Index, Reset: !matched}})
+	return l.append("open", &batch{Marker: &snapshotMarker{Index: l.stored.Snapshot.Index, Reset: !matched}})
 }
 
 // Identity returns the identity of the replica.
 func (l *Log) Identity() Identity { return l.identity }
 
-// Stored returns the state that Open found, or the first snapshot that a new
-// directory got since. It is returned once, so that the log doesn't keep it in
-// memory.
+// Stored returns the state that Open found, or the latest snapshot that was saved
+// since in a directory without entries. Only the first call returns it, so that the
+// log doesn't keep it in memory.
 func (l *Log) Stored() Stored {
 	stored := l.stored
 	l.stored = Stored{}
-	l.taken = true
+	l.storedReturned = true
 
 	return stored
 }
 
 // Save appends hard state and entries and syncs them, in one record unless the
-// entries exceed half of MaxRecordBytes. Entries replace all stored entries from
-// the first one's index on. A nil hard state leaves the stored one as it is.
+// entries exceed half of MaxRecordBytes. The entries replace all stored entries
+// from the index of the first one on. A nil hard state leaves the stored one
+// unchanged.
 //
 // The hard state is in the last record: its commit index must not refer to
-// entries that a crash could cut off.
+// entries that a crash could truncate.
 func (l *Log) Save(hardState *HardState, entries []Entry) error {
 	if hardState == nil && len(entries) == 0 {
 		return nil
@@ -209,7 +211,7 @@
 
 	current := &l.segments[len(l.segments)-1]
 
-	encoded, err := encodeRecord(l.place(current.sequence, current.size), b)
+	encoded, err := encodeRecord(l.location(current.sequence, current.size), b)
 	if err != nil {
 		return newError(operation, KindTooLarge, l.segmentPath(current.sequence), current.size, err)
 	}
@@ -219,12 +221,13 @@
 	}
 
 	current.size += int64(len(encoded))
-	l.replay.note(current, b)
+	l.replay.update(current, b)
 
 	return nil
 }
 
-// write appends data to a file and syncs it. A failure is final.
+// write appends data to a file and syncs it. After a failure the log refuses all
+// further writes.
 func (l *Log) write(file File, name string, data []byte) error {
 	if err := WriteSync(file, data); err != nil {
 		return l.fail("write", name, err)
--- a/internal/state/wal/wal_test.go
+++ b/internal/state/wal/wal_test.go
@@ -31,16 +31,17 @@
 }
 
 func entries(first, count, term uint64) []wal.Entry {
-	made := make([]wal.Entry, count)
-	for i := range made {
-		made[i] = wal.Entry{Index: first + uint64(i), Term: term, Kind: wal.EntryCommand, Data: []byte("command")}
+	result := make([]wal.Entry, count)
+	for i := range result {
+		result[i] = wal.Entry{Index: first + uint64(i), Term: term, Kind: wal.EntryCommand, Data: []byte("command")}
 	}
 
-	return made
+	return result
 }
 
-// Guards against entries that a snapshot contradicts: a crash after the snapshot
-// was renamed but before the log says so must not bring them back.
+// Guards against restoring entries that conflict with a snapshot: a crash after the
+// snapshot file was renamed but before its marker was logged must not bring them
+// back.
 func TestInterruptedSnapshot(t *testing.T) {
 	is := is.New(t)
 	d := newDisk(4)
@@ -75,7 +76,7 @@
 	return typed
 }
 
-// model is what must be found after a restart.
+// model is the state that must be found after a restart.
 type model struct {
 	hardState wal.HardState
 	snapshot  wal.Snapshot
@@ -112,8 +113,8 @@
 		slices.EqualFunc(s.Entries, m.entries, same)
 }
 
-// step does one random operation and returns the state after it.
-func step(log *wal.Log, random *rand.Rand, m *model, term uint64) (*model, error) {
+// randomOperation performs a random operation and returns the state after it.
+func randomOperation(log *wal.Log, random *rand.Rand, m *model, term uint64) (*model, error) {
 	after := &model{m.hardState, m.snapshot, slices.Clone(m.entries)}
 
 	switch random.IntN(8) {
@@ -143,9 +144,9 @@
 	}
 }
 
-// Guards against lost or invented state after a crash at any moment: full disks
-// and failed syncs in the middle of an operation, torn and reordered writes,
-// lost renames, compaction and conflicting snapshots.
+// Guards against lost state, or state that was never saved, after a crash at any
+// moment: full disks and failed syncs in the middle of an operation, torn and
+// reordered writes, lost renames, compaction and conflicting snapshots.
 func TestCrashes(t *testing.T) {
 	soak.Run(t, 100, func(t *testing.T, seed uint64) {
 		random := rand.New(rand.NewPCG(seed, 0))
@@ -166,7 +167,7 @@
 			)
 
 			for range random.IntN(25) {
-				if after, err = step(log, random, m, term); err != nil {
+				if after, err = randomOperation(log, random, m, term); err != nil {
 					t.Fatal(err)
 				}
 
@@ -179,7 +180,7 @@
 				d.FailSyncs(true)
 			}
 
-			if after, err = step(log, random, m, term); err == nil {
+			if after, err = randomOperation(log, random, m, term); err == nil {
 				m = after
 			} else {
 				expectKind(t, err, wal.KindFailed)
@@ -189,7 +190,7 @@
 			d.Limit(-1)
 			d.FailSyncs(false)
 
-			// What a failed operation wrote may have reached the disk.
+			// The writes of a failed operation may have reached the disk.
 			if err != nil {
 				if log := open(t, d); after.equals(log.Stored()) {
 					m = after
@@ -201,34 +202,35 @@
 	})
 }
 
-// filled returns a disk with four entries, the name of their segment and the
-// offset behind each record.
-func filled(t *testing.T) (*disk.Disk, string, []int) {
+// newFilledDisk returns a disk with four entries, the name of their segment and the
+// offset at which each record ends.
+func newFilledDisk(t *testing.T) (*disk.Disk, string, []int) {
 	t.Helper()
 
 	d := newDisk(1)
 	log := open(t, d)
 	name := filepath.Join(directory, "0000000000000001.log")
-	ends := []int{len(d.Contents(name))}
+	recordEnds := []int{len(d.Contents(name))}
 
 	for i := range uint64(4) {
 		is.New(t).NoErr(log.Save(nil, entries(i+1, 1, 1)))
-		ends = append(ends, len(d.Contents(name)))
+		recordEnds = append(recordEnds, len(d.Contents(name)))
 	}
 
 	is.New(t).NoErr(log.Close())
 
-	return d, name, ends
+	return d, name, recordEnds
 }
 
-// Guards against acknowledged entries that vanish silently: a flipped bit in any
-// byte before the last record must be refused with the place, not truncated.
+// Guards against acknowledged entries that are lost silently: a flipped bit before
+// the last record must be refused with an error that names file and offset, and not
+// be truncated.
 func TestCorruptionInTheMiddleIsRefused(t *testing.T) {
 	is := is.New(t)
-	d, name, ends := filled(t)
+	d, name, recordEnds := newFilledDisk(t)
 	intact := slices.Clone(d.Contents(name))
 
-	for offset := range ends[3] {
+	for offset := range recordEnds[3] {
 		damaged := slices.Clone(intact)
 		damaged[offset] ^= 0x10
 		d.Replace(name, damaged)
@@ -243,10 +245,10 @@
 // Guards against a restart that fails because the last write was torn.
 func TestTornTailIsTruncated(t *testing.T) {
 	is := is.New(t)
-	d, name, ends := filled(t)
+	d, name, recordEnds := newFilledDisk(t)
 	intact := slices.Clone(d.Contents(name))
 
-	for size := ends[3]; size < ends[4]; size++ {
+	for size := recordEnds[3]; size < recordEnds[4]; size++ {
 		d.Replace(name, slices.Clone(intact[:size]))
 
 		log := open(t, d)
@@ -256,10 +258,10 @@
 	}
 }
 
-// Guards against records or segments that are valid in themselves but belong to
-// another place or replica.
+// Guards against records or segments that are intact but belong to another position
+// or replica.
 func TestMisplacedRecordsAreRefused(t *testing.T) {
-	d, name, ends := filled(t)
+	d, name, recordEnds := newFilledDisk(t)
 	intact := slices.Clone(d.Contents(name))
 
 	t.Run("segment of another replica", func(t *testing.T) {
@@ -273,12 +275,12 @@
 		expectKind(t, err, wal.KindCorrupt)
 	})
 
-	// A missing next-to-last record leaves a record that could be mistaken for a
-	// torn one.
+	// If the next-to-last record is missing, the last one could be mistaken for a
+	// torn record.
 	for missing := range 4 {
 		t.Run(fmt.Sprintf("missing record %d", missing), func(t *testing.T) {
-			start := slices.Concat([]int{0}, ends)[missing]
-			d.Replace(name, slices.Concat(intact[:start], intact[ends[missing]:]))
+			start := slices.Concat([]int{0}, recordEnds)[missing]
+			d.Replace(name, slices.Concat(intact[:start], intact[recordEnds[missing]:]))
 
 			_, err := wal.Open(directory, wal.WithFiles(d))
 			expectKind(t, err, wal.KindCorrupt)
@@ -298,8 +300,9 @@
 	expectKind(t, log.SaveSnapshot(&wal.Snapshot{Index: 1, Term: 1}), wal.KindFailed)
 }
 
-// Guards against two processes on one directory, readable state, a replica that
-// changes its group, and against a difference between simulated and real files.
+// Guards against two processes that use one directory, a directory that others can
+// read, a replica that changes its group, and against differences between simulated
+// and real files.
 func TestOperatingSystem(t *testing.T) {
 	is := is.New(t)
 	name := filepath.Join(t.TempDir(), "data")
