--- a/internal/state/view/delta.go
+++ b/internal/state/view/delta.go
@@ -19,7 +19,7 @@
 	RemovedAgents    []Incarnation `cbor:"8,keyasint,omitempty"`
 	Balancers        []Balancer    `cbor:"9,keyasint,omitempty"` // added or changed
 	RemovedBalancers []Incarnation `cbor:"10,keyasint,omitempty"`
-	Keys             []Key         `cbor:"11,keyasint,omitempty"` // the whole ring, if it changed
+	Keys             []Key         `cbor:"11,keyasint,omitempty"` // all keys, if any of them changed
 }
 
 // Diff returns the delta that leads from old to v.
@@ -31,9 +31,9 @@
 		Digest:  v.DocumentDigest(),
 	}
 
-	delta.Services, delta.RemovedServices = changes(old.Services(), v.Services(), serviceKey, Service.Equal)
-	delta.Agents, delta.RemovedAgents = changes(old.Agents(), v.Agents(), agentKey, equal[Agent])
-	delta.Balancers, delta.RemovedBalancers = changes(old.Balancers(), v.Balancers(), balancerKey, equal[Balancer])
+	delta.Services, delta.RemovedServices = diffSorted(old.Services(), v.Services(), serviceKey, Service.Equal)
+	delta.Agents, delta.RemovedAgents = diffSorted(old.Agents(), v.Agents(), agentKey, equal[Agent])
+	delta.Balancers, delta.RemovedBalancers = diffSorted(old.Balancers(), v.Balancers(), balancerKey, equal[Balancer])
 
 	if !slices.Equal(old.Keys(), v.Keys()) {
 		delta.Keys = v.Keys()
@@ -42,7 +42,7 @@
 	return delta
 }
 
-// Apply returns the view that the delta leads to. It refuses a delta that does
+// Apply returns the view that results from the delta. It refuses a delta that does
 // not start at v's position and one that would lower the position.
 func (v *View) Apply(delta Delta) (*View, error) {
 	if delta.From != v.Position() {
@@ -65,26 +65,27 @@
 	}
 
 	if len(delta.Services)+len(delta.RemovedServices) > 0 {
-		next.contents.Services = replace(v.Services(), delta.Services, delta.RemovedServices, serviceKey, &next.sums.services)
+		next.contents.Services = mergeWithSum(
+			v.Services(), delta.Services, delta.RemovedServices, serviceKey, &next.sums.services)
 		next.byName = indexNames(next.contents.Services)
 	}
 
 	if len(delta.Agents)+len(delta.RemovedAgents) > 0 {
-		next.contents.Agents = replace(v.Agents(), delta.Agents, delta.RemovedAgents, agentKey, &next.sums.agents)
-		next.byService = v.indexAfter(delta)
+		next.contents.Agents = mergeWithSum(v.Agents(), delta.Agents, delta.RemovedAgents, agentKey, &next.sums.agents)
+		next.byService = v.agentIndexAfter(delta)
 	}
 
 	if len(delta.Balancers)+len(delta.RemovedBalancers) > 0 {
-		next.contents.Balancers = replace(
+		next.contents.Balancers = mergeWithSum(
 			v.Balancers(), delta.Balancers, delta.RemovedBalancers, balancerKey, &next.sums.balancers)
 	}
 
 	return next, nil
 }
 
-// indexAfter returns the index of agents after the delta. An agent that moves
+// agentIndexAfter returns the index of agents after the delta. An agent that moves
 // to another service is removed from its former one.
-func (v *View) indexAfter(delta Delta) *agentIndex {
+func (v *View) agentIndexAfter(delta Delta) *agentIndex {
 	upserted := make(map[ServiceID][]Agent)
 	removed := make(map[ServiceID][]Incarnation)
 
@@ -102,24 +103,24 @@
 		}
 	}
 
-	return v.byService.change(upserted, removed)
+	return v.byService.apply(upserted, removed)
 }
 
-// replace merges a list and corrects the sum of its hashes.
-func replace[K cmp.Ordered, T any](items, upserted []T, removed []K, key func(T) K, sum *uint64) []T {
+// mergeWithSum returns the merged list and updates the sum of its hashes.
+func mergeWithSum[K cmp.Ordered, T any](items, upserted []T, removed []K, key func(T) K, sum *uint64) []T {
 	for _, item := range upserted {
 		if old, ok := find(items, key(item), key); ok {
-			*sum -= sumOf([]T{old})
+			*sum -= hashSum([]T{old})
 		}
 	}
 
 	for _, k := range removed {
 		if old, ok := find(items, k, key); ok {
-			*sum -= sumOf([]T{old})
+			*sum -= hashSum([]T{old})
 		}
 	}
 
-	*sum += sumOf(upserted)
+	*sum += hashSum(upserted)
 
 	return merge(items, upserted, removed, key)
 }
@@ -130,16 +131,16 @@
 
 func equal[T comparable](a, b T) bool { return a == b }
 
-// changes compares two lists sorted by key and returns the items of next that
-// are new or different and the keys of old that are gone.
-func changes[K cmp.Ordered, T any](old, next []T, key func(T) K, same func(a, b T) bool) ([]T, []K) {
+// diffSorted compares two lists sorted by key and returns the items of next that
+// are added or changed and the keys of the removed ones.
+func diffSorted[K cmp.Ordered, T any](old, next []T, key func(T) K, same func(a, b T) bool) ([]T, []K) {
 	var (
 		upserted []T
 		removed  []K
 	)
 
 	if len(old) == len(next) && (len(old) == 0 || &old[0] == &next[0]) {
-		return nil, nil // one list, shared by both views
+		return nil, nil // both views share one list
 	}
 
 	i, j := 0, 0
@@ -164,30 +165,30 @@
 	return upserted, removed
 }
 
-// merge returns a copy of sorted items without the removed keys and with
-// upserted in place of the items of the same keys. It copies the stretches
-// between changes whole.
+// merge returns a copy of sorted items without the removed keys and with the
+// upserted items added or replaced. It copies the ranges between changes as
+// blocks.
 func merge[K cmp.Ordered, T any](items, upserted []T, removed []K, key func(T) K) []T {
-	type step struct {
+	type edit struct {
 		key    K
 		insert bool
 		item   T
 	}
 
-	steps := make([]step, 0, len(upserted)+len(removed))
+	edits := make([]edit, 0, len(upserted)+len(removed))
 	for _, k := range removed {
-		steps = append(steps, step{key: k})
+		edits = append(edits, edit{key: k})
 	}
 
 	for _, item := range upserted {
-		steps = append(steps, step{key: key(item), insert: true, item: item})
+		edits = append(edits, edit{key: key(item), insert: true, item: item})
 	}
 
-	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.key, b.key) })
+	slices.SortStableFunc(edits, func(a, b edit) int { return cmp.Compare(a.key, b.key) })
 
 	merged := make([]T, 0, len(items)+len(upserted))
 
-	for n, next := range steps {
+	for n, next := range edits {
 		i, found := slices.BinarySearchFunc(items, next.key, func(item T, k K) int { return cmp.Compare(key(item), k) })
 		merged = append(merged, items[:i]...)
 
@@ -197,8 +198,8 @@
 
 		items = items[i:]
 
-		// The last step of a key wins, so that a key cannot enter twice.
-		if next.insert && (n+1 == len(steps) || steps[n+1].key != next.key) {
+		// The last edit of a key wins, so that a key cannot be added twice.
+		if next.insert && (n+1 == len(edits) || edits[n+1].key != next.key) {
 			merged = append(merged, next.item)
 		}
 	}
--- a/internal/state/view/digest.go
+++ b/internal/state/view/digest.go
@@ -6,20 +6,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// sums holds for each list the sum of the hashes of its items. A sum can be
-// corrected for one item, so a delta of k items costs k hashes instead of one
-// for each of tens of thousands of items. Keys are few and in order, so they
-// are hashed whole.
-type sums struct {
+// hashSums holds the sum of the item hashes of each list. A sum can be updated for
+// one item, so a delta of k items costs k hashes instead of one for each of tens of
+// thousands of items. Keys are few and ordered, so the digest hashes them directly.
+type hashSums struct {
 	services, agents, balancers uint64
 }
 
-func (s sums) digest(contents Contents) uint64 {
-	head := contents
-	head.Position = Position{}
-	head.Services, head.Agents, head.Balancers = nil, nil, nil
+func (s hashSums) digest(contents Contents) uint64 {
+	remaining := contents
+	remaining.Position = Position{}
+	remaining.Services, remaining.Agents, remaining.Balancers = nil, nil, nil
 
-	encoded := encode(head)
+	encoded := encode(remaining)
 	encoded = binary.BigEndian.AppendUint64(encoded, s.services)
 	encoded = binary.BigEndian.AppendUint64(encoded, s.agents)
 	encoded = binary.BigEndian.AppendUint64(encoded, s.balancers)
@@ -27,7 +26,7 @@
 	return xxhash.Sum64(encoded)
 }
 
-func sumOf[T any](items []T) uint64 {
+func hashSum[T any](items []T) uint64 {
 	sum := uint64(0)
 	for i := range items {
 		sum += xxhash.Sum64(encode(&items[i]))
--- a/internal/state/view/error.go
+++ b/internal/state/view/error.go
@@ -8,8 +8,8 @@
 // The kinds of errors of this package.
 const (
 	KindEncoding Kind = "encoding" // the bytes are not a view
-	KindGap      Kind = "gap"      // a delta starts at another position
-	KindReversal Kind = "reversal" // a delta leads to a lower position
+	KindGap      Kind = "gap"      // a delta does not start at the position of the view
+	KindReversal Kind = "reversal" // a delta would lower the position of the view
 )
 
 // Error is the error type of this package.
--- a/internal/state/view/types.go
+++ b/internal/state/view/types.go
@@ -13,18 +13,18 @@
 type ServiceID uint16
 
 // Incarnation identifies one announcement of an agent or a balancer. The
-// replicated log assigns it and never reuses it, which tells a restarted
-// process from its predecessor on the same address.
+// replicated log assigns it and never reuses it, which distinguishes a restarted
+// process from its predecessor at the same address.
 type Incarnation uint32
 
-// Position orders views. Generation rises only when the controller group is
-// re-formed; Index is the log index of the last entry that changed the view.
+// Position orders views. Generation is incremented only when the controller group
+// is re-formed; Index is the log index of the last entry that changed the view.
 type Position struct {
 	Generation uint64 `cbor:"1,keyasint" json:"generation"`
 	Index      uint64 `cbor:"2,keyasint" json:"index"`
 }
 
-// Less reports whether p orders before other.
+// Less reports whether p precedes other.
 func (p Position) Less(other Position) bool {
 	if p.Generation != other.Generation {
 		return p.Generation < other.Generation
@@ -44,11 +44,11 @@
 // The membership states. An instance that left is removed from the view.
 const (
 	Active State = iota + 1
-	// Draining instances take no new work and finish what they have.
+	// Draining instances take no new work and complete their current work.
 	Draining
 	// Suspended instances did not renew their lease. They take no new work, but
-	// packets of established flows still go to them: an agent that is cut off
-	// from the controllers only can serve its callers all the same.
+	// packets of established flows are still sent to them: an agent that has lost
+	// only its connection to the controllers can still serve its callers.
 	Suspended
 )
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// MaxWeight is the weight of an agent that takes its full share of new flows.
+// MaxWeight is the weight of an agent that receives its full share of new flows.
 const MaxWeight = 100
 
 // Class describes one class of requests of a service.
@@ -81,14 +81,14 @@
 	Feed            bool          `cbor:"8,keyasint" json:"feed"`
 }
 
-// Limits bounds the first packets that a balancer forwards for a service, in
-// packets per second. Zero means unlimited.
+// Limits holds the maximum rates of first packets that a balancer forwards for a
+// service, in packets per second. Zero means unlimited.
 type Limits struct {
 	FirstPackets          uint32 `cbor:"1,keyasint" json:"first_packets"`
 	FirstPacketsPerSource uint32 `cbor:"2,keyasint" json:"first_packets_per_source"`
 }
 
-// Service is a service as the accepted document describes it.
+// Service is a service of the accepted document.
 type Service struct {
 	ID          ServiceID      `cbor:"1,keyasint" json:"id"`
 	Name        string         `cbor:"2,keyasint" json:"name"`
@@ -108,7 +108,7 @@
 		slices.Equal(s.Classes, other.Classes) && bytes.Equal(s.PublicKey, other.PublicKey)
 }
 
-// Agent is an announced agent and, through it, one backend server.
+// Agent is an announced agent, which represents one backend server.
 type Agent struct {
 	Incarnation Incarnation    `cbor:"1,keyasint" json:"incarnation"`
 	Service     ServiceID      `cbor:"2,keyasint" json:"service"`
@@ -135,10 +135,11 @@
 	Secret [32]byte `cbor:"2,keyasint" json:"-"`
 }
 
-// String omits the secret, so that no log line can contain it.
+// String returns the ID of the key without the secret, so that no log line can
+// contain it.
 func (k Key) String() string {
 	return fmt.Sprintf("key(%d)", k.ID)
 }
 
-// GoString omits the secret from the %#v verb too.
+// GoString omits the secret for the %#v verb too.
 func (k Key) GoString() string { return k.String() }
--- a/internal/state/view/view.go
+++ b/internal/state/view/view.go
@@ -1,4 +1,4 @@
-// Package view is the picture of one environment that every instance applies:
+// Package view defines the state of one environment that every instance applies:
 // its services, agents, balancers and fabric keys at one position of the
 // replicated log.
 //
@@ -37,13 +37,13 @@
 	Keys        []Key      `cbor:"8,keyasint"` // newest first
 }
 
-// View is the immutable state of one environment. A view that Apply returns
-// shares the lists and indexes that did not change with its predecessor.
+// View is the immutable state of one environment. A view returned by Apply shares
+// unchanged lists and indexes with its predecessor.
 type View struct {
 	contents  Contents
 	byName    map[string]ServiceID
 	byService *agentIndex
-	sums      sums
+	sums      hashSums
 }
 
 // New returns a view of the given contents, with its items in canonical order.
@@ -55,11 +55,11 @@
 	return &View{
 		contents:  contents,
 		byName:    indexNames(contents.Services),
-		byService: new(agentIndex).with(contents.Agents),
-		sums: sums{
-			services:  sumOf(contents.Services),
-			agents:    sumOf(contents.Agents),
-			balancers: sumOf(contents.Balancers),
+		byService: new(agentIndex).withAgents(contents.Agents),
+		sums: hashSums{
+			services:  hashSum(contents.Services),
+			agents:    hashSum(contents.Agents),
+			balancers: hashSum(contents.Balancers),
 		},
 	}
 }
@@ -85,21 +85,25 @@
 // DocumentDigest returns the SHA-256 of the accepted document.
 func (v *View) DocumentDigest() [32]byte { return v.contents.Digest }
 
-// Services returns all services by rising ID. The caller must not change it.
+// Services returns all services, sorted by ID. The caller must not modify the
+// slice.
 func (v *View) Services() []Service { return v.contents.Services }
 
-// Agents returns all agents by rising incarnation. The caller must not change it.
+// Agents returns all agents, sorted by incarnation. The caller must not modify
+// the slice.
 func (v *View) Agents() []Agent { return v.contents.Agents }
 
-// Balancers returns all balancers by rising incarnation. The caller must not change it.
+// Balancers returns all balancers, sorted by incarnation. The caller must not
+// modify the slice.
 func (v *View) Balancers() []Balancer { return v.contents.Balancers }
 
-// Keys returns the fabric keys, newest first. The caller must not change it.
+// Keys returns the fabric keys, newest first. The caller must not modify the
+// slice.
 func (v *View) Keys() []Key { return v.contents.Keys }
 
 // Digest returns the xxhash64 of the canonical encoding, without the position:
-// an entry can move the position without changing an item. Each list enters
-// as the sum of the hashes of its items.
+// a log entry can advance the position without changing an item. Services, agents
+// and balancers are each included as the sum of the hashes of their items.
 func (v *View) Digest() uint64 { return v.sums.digest(v.contents) }
 
 // Service returns the service with the given ID.
@@ -127,21 +131,21 @@
 	return find(v.contents.Balancers, incarnation, balancerKey)
 }
 
-// find looks for a key in a list sorted by key.
+// find returns the item with the given key from a list sorted by key.
 func find[K cmp.Ordered, T any](items []T, key K, keyOf func(T) K) (T, bool) {
 	i, ok := slices.BinarySearchFunc(items, key, func(item T, key K) int { return cmp.Compare(keyOf(item), key) })
 	if !ok {
-		var none T
+		var zero T
 
-		return none, false
+		return zero, false
 	}
 
 	return items[i], true
 }
 
-// AgentsOf returns the agents of a service by rising incarnation. The caller
-// must not change it.
-func (v *View) AgentsOf(service ServiceID) []Agent { return v.byService.of(service) }
+// AgentsOf returns the agents of a service, sorted by incarnation. The caller must
+// not modify the slice.
+func (v *View) AgentsOf(service ServiceID) []Agent { return v.byService.agents(service) }
 
 // MarshalBinary encodes the view as canonical CBOR.
 func (v *View) MarshalBinary() ([]byte, error) {
@@ -168,19 +172,19 @@
 	return view, nil
 }
 
-// checkUnique refuses two items of one key: lookups and deltas could not tell
-// them apart.
+// checkUnique returns an error if two items have the same key: lookups and deltas
+// could not distinguish them.
 func checkUnique(contents Contents) error {
-	if !risesStrictly(contents.Services, serviceKey) ||
-		!risesStrictly(contents.Agents, agentKey) ||
-		!risesStrictly(contents.Balancers, balancerKey) {
+	if !isStrictlySorted(contents.Services, serviceKey) ||
+		!isStrictlySorted(contents.Agents, agentKey) ||
+		!isStrictlySorted(contents.Balancers, balancerKey) {
 		return fmt.Errorf("two items of environment %q have the same key", contents.Environment)
 	}
 
 	return nil
 }
 
-func risesStrictly[K cmp.Ordered, T any](items []T, keyOf func(T) K) bool {
+func isStrictlySorted[K cmp.Ordered, T any](items []T, keyOf func(T) K) bool {
 	for i := 1; i < len(items); i++ {
 		if keyOf(items[i-1]) >= keyOf(items[i]) {
 			return false
@@ -190,9 +194,9 @@
 	return true
 }
 
-// canonical encodes equal contents to equal bytes, so that digests agree. A
-// nil list has the form of an empty one: which of them a list is depends on
-// whether the view was decoded or built.
+// canonical encodes equal contents to equal bytes, so that digests agree. It
+// encodes a nil list like an empty one: decoding and building a view may yield
+// either.
 var canonical = func() cbor.EncMode {
 	options := cbor.CoreDetEncOptions()
 	options.NilContainers = cbor.NilContainerAsEmpty
--- a/internal/state/view/view_test.go
+++ b/internal/state/view/view_test.go
@@ -12,7 +12,7 @@
 	"jayspindle/internal/testing/soak"
 )
 
-func agentOf(number, service int) view.Agent {
+func newAgent(number, service int) view.Agent {
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(number >> 16), byte(number >> 8), byte(number)}), 7000)
 
 	return view.Agent{
@@ -21,16 +21,16 @@
 	}
 }
 
-func serviceOf(number int) view.Service {
+func newService(number int) view.Service {
 	return view.Service{
 		ID: view.ServiceID(number), Name: fmt.Sprintf("s%d", number), Slots: 3, Buckets: 1024,
 		Classes: []view.Class{{Name: "a", Method: "GET", PathPrefix: "/"}}, PublicKey: make([]byte, 32),
 	}
 }
 
-// contentsOf returns random contents with a few of many possible items, so
-// that two of them have items in common, changed, added and removed.
-func contentsOf(random *rand.Rand, index uint64) view.Contents {
+// randomContents returns a random subset of the possible items, so that two results
+// differ by added, changed and removed items and have others in common.
+func randomContents(random *rand.Rand, index uint64) view.Contents {
 	contents := view.Contents{Environment: "trial", Position: view.Position{Index: index}, Version: index}
 
 	for number := range 300 {
@@ -38,12 +38,12 @@
 			continue
 		}
 
-		agent := agentOf(number, random.IntN(3)*200)
+		agent := newAgent(number, random.IntN(3)*200)
 		agent.Weight = uint8(random.IntN(2))
 		contents.Agents = append(contents.Agents, agent)
 		contents.Balancers = append(contents.Balancers, view.Balancer{Incarnation: agent.Incarnation, Data: agent.Data})
 
-		service := serviceOf(number * 200)
+		service := newService(number * 200)
 		service.Slots = uint16(random.IntN(2))
 		contents.Services = append(contents.Services, service)
 	}
@@ -55,8 +55,8 @@
 	return contents
 }
 
-// assertSame asserts that two views answer every lookup alike.
-func assertSame(t *testing.T, got, want *view.View) {
+// assertEqualViews asserts that two views return the same result for every lookup.
+func assertEqualViews(t *testing.T, got, want *view.View) {
 	t.Helper()
 
 	is := is.New(t)
@@ -85,30 +85,30 @@
 	}
 }
 
-// Guards against a delta that leads to another view than the full one, which
-// would leave instances on different digests forever.
+// Guards against a delta whose result differs from the full view: instances would
+// keep different digests permanently.
 func TestDeltaLeadsToView(t *testing.T) {
 	soak.Run(t, 20, func(t *testing.T, seed uint64) {
 		random := rand.New(rand.NewPCG(seed, 0))
-		old, next := view.New(contentsOf(random, 1)), view.New(contentsOf(random, 2))
+		old, next := view.New(randomContents(random, 1)), view.New(randomContents(random, 2))
 
 		before := old.Digest()
 		applied, err := old.Apply(next.Diff(old))
 		is.New(t).NoErr(err)
-		assertSame(t, applied, next)
-		is.New(t).Equal(old.Digest(), before) // a view never changes
+		assertEqualViews(t, applied, next)
+		is.New(t).Equal(old.Digest(), before) // a view is immutable
 
 		encoded, err := applied.MarshalBinary()
 		is.New(t).NoErr(err)
 		decoded, err := view.Decode(encoded)
 		is.New(t).NoErr(err)
-		assertSame(t, decoded, next)
+		assertEqualViews(t, decoded, next)
 	})
 }
 
 // Guards against a digest that misses a changed field.
 func TestDigestCoversContents(t *testing.T) {
-	contents := func() view.Contents { return contentsOf(rand.New(rand.NewPCG(1, 0)), 1) }
+	contents := func() view.Contents { return randomContents(rand.New(rand.NewPCG(1, 0)), 1) }
 	digest := view.New(contents()).Digest()
 
 	for name, change := range map[string]func(*view.Contents){
@@ -131,16 +131,16 @@
 	moved := contents()
 	moved.Position.Index++
 	moved.Keys = []view.Key{}
-	is.New(t).Equal(view.New(moved).Digest(), digest) // neither position nor the form of an empty list counts
+	is.New(t).Equal(view.New(moved).Digest(), digest) // position and nil lists don't count
 }
 
-// Guards against two items of one key, which lookups cannot tell apart, and
-// against panics on bytes from the network.
+// Guards against two items with the same key, which lookups cannot distinguish,
+// and against panics on bytes from the network.
 func FuzzDecode(f *testing.F) {
-	encoded, _ := view.New(contentsOf(rand.New(rand.NewPCG(1, 0)), 1)).MarshalBinary()
+	encoded, _ := view.New(randomContents(rand.New(rand.NewPCG(1, 0)), 1)).MarshalBinary()
 	f.Add(encoded)
-	twice, _ := view.New(view.Contents{Agents: []view.Agent{agentOf(1, 1), agentOf(1, 2)}}).MarshalBinary()
-	f.Add(twice)
+	duplicate, _ := view.New(view.Contents{Agents: []view.Agent{newAgent(1, 1), newAgent(1, 2)}}).MarshalBinary()
+	f.Add(duplicate)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		decoded, err := view.Decode(data)
 		if err != nil {
@@ -148,30 +148,30 @@
 		}
 
 		for i, agent := range decoded.Agents() {
-			is.New(t).True(i == 0 || decoded.Agents()[i-1].Incarnation < agent.Incarnation) // keys rise
+			is.New(t).True(i == 0 || decoded.Agents()[i-1].Incarnation < agent.Incarnation) // sorted by key
 		}
 	})
 }
 
-func atTargetSize() view.Contents {
+func contentsAtTargetSize() view.Contents {
 	contents := view.Contents{Environment: "trial", Position: view.Position{Index: 1}}
 	for i := range 26_000 {
-		contents.Agents = append(contents.Agents, agentOf(i, i%6700))
+		contents.Agents = append(contents.Agents, newAgent(i, i%6700))
 	}
 
 	for i := range 6700 {
-		contents.Services = append(contents.Services, serviceOf(i))
+		contents.Services = append(contents.Services, newService(i))
 	}
 
 	return contents
 }
 
 func BenchmarkApplyOneAgent(b *testing.B) {
-	current := view.New(atTargetSize())
+	current := view.New(contentsAtTargetSize())
 	b.ReportAllocs()
 
 	for b.Loop() {
-		agent := agentOf(13_000, 13_000%6700)
+		agent := newAgent(13_000, 13_000%6700)
 		agent.Weight = uint8(current.Position().Index % 100)
 		next := view.Position{Index: current.Position().Index + 1}
 		current, _ = current.Apply(view.Delta{From: current.Position(), To: next, Agents: []view.Agent{agent}})
@@ -180,8 +180,8 @@
 }
 
 func BenchmarkDiffOneAgent(b *testing.B) {
-	old := view.New(atTargetSize())
-	agent := agentOf(13_000, 13_000%6700)
+	old := view.New(contentsAtTargetSize())
+	agent := newAgent(13_000, 13_000%6700)
 	agent.Weight = 1
 	next, _ := old.Apply(view.Delta{From: old.Position(), To: view.Position{Index: 2}, Agents: []view.Agent{agent}})
 
@@ -191,7 +191,7 @@
 }
 
 func BenchmarkNew(b *testing.B) {
-	contents := atTargetSize()
+	contents := contentsAtTargetSize()
 	for b.Loop() {
 		view.New(contents)
 	}
