--- a/internal/state/checkpoint/checkpoint.go
+++ b/internal/state/checkpoint/checkpoint.go
@@ -1,33 +1,32 @@
-// Package checkpoint remembers the open flows of agents where a loss of power
-// does not reach them: at controllers, which have disks. An agent that starts
-// again recalls them. If its backend server has started anew, the remembered
-// flows are lost, and their clients can be told before they send a request that
-// must not be repeated.
+// Package checkpoint stores the open flows of agents at controllers, which have
+// disks, so that they survive a power failure. A restarted agent fetches them. If
+// its backend server has restarted as well, the stored flows are lost, and the agent
+// can notify their clients before they send a request that must not be repeated.
 //
 // # Usage
 //
-// An agent tracks its flows and sends what each controller lacks:
+// An agent tracks its flows and sends each controller the changes that it lacks:
 //
 //	tracker := checkpoint.NewTracker(agent, epoch)
-//	tracker.Observe(born, flows)
+//	tracker.Observe(backendStart, flows)
 //	batch, ok := tracker.Batch(controller)
 //	tracker.Acknowledge(controller, ack)
 //
-// A controller keeps the batches without reading their flows:
+// A controller stores the batches without decoding their flows:
 //
 //	store := checkpoint.NewStore()
 //	ack, applied := store.Apply(now, batch, encoded)
 //	batches := store.Recall(agent)
 //
-// An agent that starts puts them together again:
+// A starting agent restores its flows from the batches:
 //
 //	memory, err := checkpoint.Restore(batches)
 //
 // # Guarantees
 //
 // A checkpoint is a hint. It may lack flows that were opened in the last second
-// and hold some that have been closed since. It is never the reason to reset a
-// flow whose backend server may still live.
+// and contain flows that have been closed since. It is never a sufficient reason to
+// reset a flow whose backend server may still be running.
 package checkpoint
 
 import (
@@ -57,27 +56,27 @@
 // Flow is an open flow.
 type Flow struct {
 	Key          flow.Key
-	Acknowledged uint32 // by the client, some time ago
+	Acknowledged uint32 // by the client; may be out of date
 }
 
-// Batch is the change of an agent's flows from one position to another. From
-// position 0 it holds all of them.
+// Batch holds the changes of an agent's flows from one position to another. If From
+// is 0, it holds all flows.
 type Batch struct {
 	Agent    flow.Endpoint
 	Born     int64  // start of the backend server, Unix milliseconds
-	Epoch    uint64 // start of the agent; a later one has a higher one
+	Epoch    uint64 // identifies the start of the agent; rises with each start
 	From, To uint64
-	Opened   []Flow // or changed
+	Opened   []Flow // opened or changed
 	Closed   []flow.Key
 }
 
 const (
-	flowBytes = flow.KeyBytes + 4
-	headBytes = flow.EndpointBytes + 4*8 + 2*4
+	flowBytes   = flow.KeyBytes + 4
+	headerBytes = flow.EndpointBytes + 4*8 + 2*4
 
-	// maxFlows bounds the flows of a batch: an agent's backend server holds a
-	// few thousand.
-	maxFlows = 1 << 16
+	// maxBatchFlows limits the opened and the closed flows of a batch: a backend
+	// server holds a few thousand.
+	maxBatchFlows = 1 << 16
 )
 
 // Append appends the encoded batch to the buffer.
@@ -101,10 +100,10 @@
 	return buffer
 }
 
-// Parse reads a batch and returns the bytes behind it.
+// Parse decodes a batch and returns the remaining bytes.
 func Parse(encoded []byte) (batch Batch, rest []byte, err error) {
-	if len(encoded) < headBytes {
-		return Batch{}, nil, newError("parse", KindMalformed, fmt.Errorf("%d bytes are no batch", len(encoded)))
+	if len(encoded) < headerBytes {
+		return Batch{}, nil, newError("parse", KindMalformed, fmt.Errorf("%d bytes are too short for a batch", len(encoded)))
 	}
 
 	batch.Agent = flow.ParseEndpoint(encoded)
@@ -114,11 +113,11 @@
 	batch.From = binary.LittleEndian.Uint64(encoded[16:])
 	batch.To = binary.LittleEndian.Uint64(encoded[24:])
 	opened, closed := binary.LittleEndian.Uint32(encoded[32:]), binary.LittleEndian.Uint32(encoded[36:])
-	encoded = encoded[headBytes-flow.EndpointBytes:]
+	encoded = encoded[headerBytes-flow.EndpointBytes:]
 
-	if opened > maxFlows || closed > maxFlows || int(opened)*flowBytes+int(closed)*flow.KeyBytes > len(encoded) {
+	if opened > maxBatchFlows || closed > maxBatchFlows || int(opened)*flowBytes+int(closed)*flow.KeyBytes > len(encoded) {
 		return Batch{}, nil, newError("parse", KindMalformed,
-			fmt.Errorf("%d bytes do not hold %d and %d flows", len(encoded), opened, closed))
+			fmt.Errorf("%d bytes cannot hold %d opened and %d closed flows", len(encoded), opened, closed))
 	}
 
 	for range opened {
@@ -136,15 +135,15 @@
 	return batch, encoded, nil
 }
 
-// Memory is what an agent knew of its flows before it started.
+// Memory holds the flows that an agent had before it restarted.
 type Memory struct {
 	Born  int64  // start of the backend server that held the flows
-	Epoch uint64 // earlier start of the agent
+	Epoch uint64 // epoch of the agent that recorded the flows
 	Flows []Flow
 }
 
-// Restore puts the batches of an agent together. Without batches the memory is
-// empty.
+// Restore applies the encoded batches of an agent in order. Without batches the
+// result is empty.
 func Restore(encoded []byte) (Memory, error) {
 	var memory Memory
 
--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -13,15 +13,15 @@
 )
 
 var (
-	start      = time.Unix(1_000_000, 0)
-	agent      = flow.Endpoint{IP: [4]byte{10, 0, 0, 1}, Port: 7000}
-	controller = flow.Endpoint{IP: [4]byte{10, 0, 1, 1}, Port: 7300}
-	other      = flow.Endpoint{IP: [4]byte{10, 0, 1, 2}, Port: 7300}
+	start           = time.Unix(1_000_000, 0)
+	agent           = flow.Endpoint{IP: [4]byte{10, 0, 0, 1}, Port: 7000}
+	controller      = flow.Endpoint{IP: [4]byte{10, 0, 1, 1}, Port: 7300}
+	otherController = flow.Endpoint{IP: [4]byte{10, 0, 1, 2}, Port: 7300}
 )
 
 const (
-	born  = 1_700_000_000_000
-	epoch = 7
+	backendStart = 1_700_000_000_000
+	epoch        = 7
 )
 
 func key(number int) flow.Key {
@@ -31,7 +31,8 @@
 	}
 }
 
-// flows returns flows by number, each with what its client has acknowledged.
+// flows returns the numbered flows, each with the bytes that its client has
+// acknowledged.
 func flows(numbers ...int) map[flow.Key]uint32 {
 	found := make(map[flow.Key]uint32, len(numbers))
 	for _, number := range numbers {
@@ -41,8 +42,9 @@
 	return found
 }
 
-// pass sends a controller what it lacks and passes its answer back.
-func pass(t *testing.T, tracker *checkpoint.Tracker, to flow.Endpoint, store *checkpoint.Store) {
+// syncController sends a controller the changes that it lacks and applies its
+// acknowledgement.
+func syncController(t *testing.T, tracker *checkpoint.Tracker, to flow.Endpoint, store *checkpoint.Store) {
 	t.Helper()
 
 	batch, ok := tracker.Batch(to)
@@ -59,8 +61,8 @@
 	tracker.Acknowledge(to, ack)
 }
 
-// holds checks what a controller remembers.
-func holds(t *testing.T, store *checkpoint.Store, want map[flow.Key]uint32) {
+// assertStored asserts that a controller stores exactly the wanted flows.
+func assertStored(t *testing.T, store *checkpoint.Store, want map[flow.Key]uint32) {
 	t.Helper()
 
 	memory, err := checkpoint.Restore(store.Recall(agent))
@@ -74,77 +76,78 @@
 	is.New(t).Equal(found, want)
 }
 
-// TestChanges guards against controllers that miss flows or keep ones that have
-// ended.
+// TestChanges guards against controllers that miss open flows or keep closed ones.
 func TestChanges(t *testing.T) {
 	tracker, store := checkpoint.NewTracker(agent, epoch), checkpoint.NewStore()
 
 	for _, step := range []map[flow.Key]uint32{
 		flows(1, 2), flows(1, 2, 3), flows(2, 3), flows(2, 4), flows(), flows(5),
 	} {
-		tracker.Observe(born, step)
-		pass(t, tracker, controller, store)
-		holds(t, store, step)
+		tracker.Observe(backendStart, step)
+		syncController(t, tracker, controller, store)
+		assertStored(t, store, step)
 		tracker.Forget([]flow.Endpoint{controller})
 	}
 
-	_, lacks := tracker.Batch(controller)
-	is.New(t).True(!lacks)
+	_, pending := tracker.Batch(controller)
+	is.New(t).True(!pending)
 }
 
-// TestProgress guards against resets that a client ignores, because it has
-// acknowledged much more since the checkpoint, and against a message for every
-// acknowledgement.
+// TestProgress guards against resets that a client ignores because it has
+// acknowledged many more bytes since the checkpoint, and against one message for
+// each acknowledgement.
 func TestProgress(t *testing.T) {
 	is := is.New(t)
 	tracker, store := checkpoint.NewTracker(agent, epoch), checkpoint.NewStore()
 
-	tracker.Observe(born, map[flow.Key]uint32{key(1): 100})
-	pass(t, tracker, controller, store)
+	tracker.Observe(backendStart, map[flow.Key]uint32{key(1): 100})
+	syncController(t, tracker, controller, store)
 
-	tracker.Observe(born, map[flow.Key]uint32{key(1): 2100})
-	_, lacks := tracker.Batch(controller)
-	is.True(!lacks)
+	tracker.Observe(backendStart, map[flow.Key]uint32{key(1): 2100})
+	_, pending := tracker.Batch(controller)
+	is.True(!pending)
 
-	tracker.Observe(born, map[flow.Key]uint32{key(1): 40_000})
-	pass(t, tracker, controller, store)
-	holds(t, store, map[flow.Key]uint32{key(1): 40_000})
+	tracker.Observe(backendStart, map[flow.Key]uint32{key(1): 40_000})
+	syncController(t, tracker, controller, store)
+	assertStored(t, store, map[flow.Key]uint32{key(1): 40_000})
 }
 
-// TestLostMessages guards against controllers that stay behind after messages
-// were lost, in either direction, or after the agent or they have started anew.
+// TestLostMessages guards against controllers that stay out of date after messages
+// were lost in either direction, or after the agent or a controller has restarted.
 func TestLostMessages(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 0))
 	tracker := checkpoint.NewTracker(agent, epoch)
-	stores := map[flow.Endpoint]*checkpoint.Store{controller: checkpoint.NewStore(), other: checkpoint.NewStore()}
-	present := map[flow.Key]uint32{}
-	starts, agentStarts := int64(born), uint64(epoch)
+	stores := map[flow.Endpoint]*checkpoint.Store{
+		controller: checkpoint.NewStore(), otherController: checkpoint.NewStore(),
+	}
+	openFlows := map[flow.Key]uint32{}
+	currentStart, currentEpoch := int64(backendStart), uint64(epoch)
 
 	for step := range 2000 {
 		for range 3 {
 			if number := random.IntN(40); random.IntN(2) == 0 {
-				present[key(number)] = uint32(step) << 16
+				openFlows[key(number)] = uint32(step) << 16
 			} else {
-				delete(present, key(number))
+				delete(openFlows, key(number))
 			}
 		}
 
 		switch random.IntN(100) {
-		case 0: // the backend server starts anew
-			starts++
+		case 0: // the backend server restarts
+			currentStart++
 
-			clear(present)
-		case 1: // the agent starts anew
-			agentStarts++
-			tracker = checkpoint.NewTracker(agent, agentStarts)
+			clear(openFlows)
+		case 1: // the agent restarts
+			currentEpoch++
+			tracker = checkpoint.NewTracker(agent, currentEpoch)
 		case 2:
-			stores[other] = checkpoint.NewStore()
+			stores[otherController] = checkpoint.NewStore()
 		}
 
-		tracker.Observe(starts, present)
+		tracker.Observe(currentStart, openFlows)
 
-		for to, store := range stores {
-			batch, ok := tracker.Batch(to)
+		for address, store := range stores {
+			batch, ok := tracker.Batch(address)
 			if !ok || random.IntN(3) == 0 {
 				continue // lost
 			}
@@ -153,43 +156,44 @@
 			ack, _ := store.Apply(start, batch, encoded)
 
 			if random.IntN(3) > 0 {
-				tracker.Acknowledge(to, ack)
+				tracker.Acknowledge(address, ack)
 			}
 		}
 
-		tracker.Forget([]flow.Endpoint{controller, other})
+		tracker.Forget([]flow.Endpoint{controller, otherController})
 	}
 
-	for to, store := range stores {
+	for address, store := range stores {
 		for range 5 {
-			pass(t, tracker, to, store)
+			syncController(t, tracker, address, store)
 		}
 
 		memory, err := checkpoint.Restore(store.Recall(agent))
 		is.New(t).NoErr(err)
-		is.New(t).Equal(memory.Born, starts)
-		is.New(t).Equal(len(memory.Flows), len(present))
+		is.New(t).Equal(memory.Born, currentStart)
+		is.New(t).Equal(len(memory.Flows), len(openFlows))
 	}
 }
 
-// TestClockSetBack guards against an agent that is not remembered any more after
-// it has started again with a clock that was set back.
+// TestClockSetBack guards against an agent whose batches are refused after it has
+// restarted with a clock that was set back.
 func TestClockSetBack(t *testing.T) {
 	store := checkpoint.NewStore()
 
 	before := checkpoint.NewTracker(agent, epoch)
-	before.Observe(born, flows(1))
-	pass(t, before, controller, store)
+	before.Observe(backendStart, flows(1))
+	syncController(t, before, controller, store)
 
 	after := checkpoint.NewTracker(agent, epoch-1)
-	after.Observe(born, flows(2))
-	pass(t, after, controller, store)
-	holds(t, store, flows(1))
-	pass(t, after, controller, store)
-	holds(t, store, flows(2))
+	after.Observe(backendStart, flows(2))
+	syncController(t, after, controller, store)
+	assertStored(t, store, flows(1))
+	syncController(t, after, controller, store)
+	assertStored(t, store, flows(2))
 }
 
-// TestLateBatches guards against batches of an earlier start that arrive late.
+// TestLateBatches guards against delayed batches of an earlier start that replace
+// newer ones.
 func TestLateBatches(t *testing.T) {
 	is := is.New(t)
 	store := checkpoint.NewStore()
@@ -201,53 +205,54 @@
 	}
 
 	newer := checkpoint.Batch{
-		Agent: agent, Born: born + 1, Epoch: epoch + 1, To: 5, Opened: []checkpoint.Flow{{Key: key(1), Acknowledged: 1}},
+		Agent: agent, Born: backendStart + 1, Epoch: epoch + 1, To: 5,
+		Opened: []checkpoint.Flow{{Key: key(1), Acknowledged: 1}},
 	}
 	is.True(apply(newer))
 	is.True(!apply(newer)) // repeated
-	is.True(!apply(checkpoint.Batch{Agent: agent, Born: born, Epoch: epoch, To: 99}))
-	is.True(!apply(checkpoint.Batch{Agent: agent, Born: born + 1, Epoch: epoch, To: 99}))
-	is.True(!apply(checkpoint.Batch{Agent: agent, Born: born + 1, Epoch: epoch + 1, From: 6, To: 7})) // a gap
-	holds(t, store, flows(1))
+	is.True(!apply(checkpoint.Batch{Agent: agent, Born: backendStart, Epoch: epoch, To: 99}))
+	is.True(!apply(checkpoint.Batch{Agent: agent, Born: backendStart + 1, Epoch: epoch, To: 99}))
+	is.True(!apply(checkpoint.Batch{Agent: agent, Born: backendStart + 1, Epoch: epoch + 1, From: 6, To: 7})) // a gap
+	assertStored(t, store, flows(1))
 }
 
-// TestExpire guards against old flows that a controller still tells of when an
-// agent comes back, and against memory that only grows.
+// TestExpire guards against a controller that returns outdated flows to a restarted
+// agent, and against unbounded memory.
 func TestExpire(t *testing.T) {
 	is := is.New(t)
 	tracker, store := checkpoint.NewTracker(agent, epoch), checkpoint.NewStore()
-	tracker.Observe(born, flows(1))
-	pass(t, tracker, controller, store)
+	tracker.Observe(backendStart, flows(1))
+	syncController(t, tracker, controller, store)
 
 	store.Touch(start.Add(time.Minute), agent)
 	store.Expire(start.Add(2 * time.Minute))
-	holds(t, store, flows(1))
+	assertStored(t, store, flows(1))
 
 	store.Expire(start.Add(3 * time.Minute))
-	holds(t, store, flows())
+	assertStored(t, store, flows())
 	is.Equal(store.Bytes(), 0)
 }
 
-// TestGrowth guards against batches that pile up: the controller asks for all
-// flows anew.
+// TestGrowth guards against batches that accumulate without bound: the controller
+// has to ask for all flows again.
 func TestGrowth(t *testing.T) {
 	tracker, store := checkpoint.NewTracker(agent, epoch), checkpoint.NewStore()
 
-	most := 0
+	maxBytes := 0
 
 	for number := range 5000 {
-		tracker.Observe(born, flows(number, number+1))
-		pass(t, tracker, controller, store)
+		tracker.Observe(backendStart, flows(number, number+1))
+		syncController(t, tracker, controller, store)
 		tracker.Forget([]flow.Endpoint{controller})
-		most = max(most, store.Bytes())
+		maxBytes = max(maxBytes, store.Bytes())
 	}
 
-	is.New(t).True(most < 8<<10)
-	holds(t, store, flows(4999, 5000))
+	is.New(t).True(maxBytes < 8<<10)
+	assertStored(t, store, flows(4999, 5000))
 }
 
-// TestCrashes guards against checkpoints that a loss of power takes with it, and
-// against a torn file that keeps a controller from starting.
+// TestCrashes guards against checkpoints that are lost in a power failure, and
+// against a torn file that prevents a controller from starting.
 func TestCrashes(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
@@ -260,7 +265,7 @@
 		saved := map[flow.Key]uint32{}
 
 		for step := range random.IntN(60) {
-			tracker.Observe(born, flows(step, step+1, step+2))
+			tracker.Observe(backendStart, flows(step, step+1, step+2))
 
 			batch, ok := tracker.Batch(controller)
 			if !ok {
@@ -284,14 +289,14 @@
 
 		d.Crash()
 
-		read := checkpoint.NewStore()
-		_, err = checkpoint.OpenFile(start, d, "flows", read)
+		reopened := checkpoint.NewStore()
+		_, err = checkpoint.OpenFile(start, d, "flows", reopened)
 		is.New(t).NoErr(err)
-		holds(t, read, saved)
+		assertStored(t, reopened, saved)
 	}
 }
 
-// TestFullDisk guards against errors of the disk that are taken for success.
+// TestFullDisk guards against disk errors that are ignored.
 func TestFullDisk(t *testing.T) {
 	is := is.New(t)
 	d := disk.New(rand.New(rand.NewPCG(1, 0)))
@@ -301,16 +306,18 @@
 	is.NoErr(err)
 	d.Limit(10)
 
-	batch := checkpoint.Batch{Agent: agent, Born: born, Epoch: epoch, To: 1, Opened: []checkpoint.Flow{{Key: key(1)}}}
+	batch := checkpoint.Batch{
+		Agent: agent, Born: backendStart, Epoch: epoch, To: 1, Opened: []checkpoint.Flow{{Key: key(1)}},
+	}
 	is.True(file.Append(batch.Append(nil)) != nil)
-	is.True(file.Rewrite(store) == nil) // nothing is kept, so there is nothing to write
+	is.True(file.Rewrite(store) == nil) // the store is empty, so there is nothing to write
 }
 
-// TestMalformed guards against a crash by bytes that are no batch.
+// TestMalformed guards against a panic on bytes that are not a batch.
 func TestMalformed(t *testing.T) {
 	is := is.New(t)
 	batch := checkpoint.Batch{
-		Agent: agent, Born: born, Epoch: epoch, To: 1, Opened: []checkpoint.Flow{{Key: key(1)}},
+		Agent: agent, Born: backendStart, Epoch: epoch, To: 1, Opened: []checkpoint.Flow{{Key: key(1)}},
 		Closed: []flow.Key{key(2)},
 	}
 	encoded := batch.Append(nil)
@@ -326,7 +333,7 @@
 		damaged := append([]byte(nil), encoded...)
 		damaged[random.IntN(len(damaged))] ^= byte(1 + random.IntN(255))
 
-		// Any outcome but a crash is fine: frames have checksums.
+		// Any result but a panic is correct: the checksums of frames detect damage.
 		_, err := checkpoint.Restore(damaged)
 		_ = err
 	}
--- a/internal/state/checkpoint/file.go
+++ b/internal/state/checkpoint/file.go
@@ -11,23 +11,23 @@
 const (
 	fileName = "flows"
 
-	// fileSlack and fileGrowth bound the file beyond what the store holds,
-	// before it is written anew.
-	fileSlack  = 1 << 20
-	fileGrowth = 4
+	// The file is rewritten when it exceeds maxFileGrowthFactor times the size of
+	// the store by more than maxFileSlackBytes.
+	maxFileSlackBytes   = 1 << 20
+	maxFileGrowthFactor = 4
 )
 
-// File keeps batches on a disk. Only its goroutine uses it, and may wait for the
-// disk.
+// File stores batches on disk. It is used by a single goroutine, which may block on
+// disk operations.
 type File struct {
 	files     wal.Files
 	directory string
-	open      wal.File
+	file      wal.File
 	size      int64
 }
 
-// OpenFile reads the batches of a directory into a store. What a crash has torn
-// off is left out.
+// OpenFile reads the batches of a directory into a store. It ignores a frame that
+// was torn by a crash.
 func OpenFile(now time.Time, files wal.Files, directory string, store *Store) (*File, error) {
 	if err := files.MakeDirectory(directory); err != nil {
 		return nil, newError("open", KindFile, err)
@@ -40,9 +40,9 @@
 		return nil, newError("open", KindFile, err)
 	}
 
-	load(now, data, store)
+	applyFrames(now, data, store)
 
-	// The file is written anew, so that nothing follows a torn frame.
+	// The file is rewritten, so that no frame is appended after a torn one.
 	if err := f.Rewrite(store); err != nil {
 		return nil, errors.Join(err, f.Close())
 	}
@@ -50,12 +50,12 @@
 	return f, nil
 }
 
-// load applies the frames of a file up to the first one that is not whole.
-func load(now time.Time, data []byte, store *Store) {
+// applyFrames applies the frames of a file up to the first incomplete one.
+func applyFrames(now time.Time, data []byte, store *Store) {
 	for offset := int64(0); offset < int64(len(data)); {
-		payload, end, err := wal.NextFrame(data, offset)
+		payload, next, err := wal.NextFrame(data, offset)
 		if err != nil {
-			return // a crash has torn the rest, which was not acknowledged
+			return // the rest was torn by a crash and never acknowledged
 		}
 
 		for len(payload) > 0 {
@@ -69,20 +69,20 @@
 			payload = rest
 		}
 
-		offset = end
+		offset = next
 	}
 }
 
 func (f *File) path(name string) string { return filepath.Join(f.directory, name) }
 
-// Append adds encoded batches and syncs them.
+// Append appends encoded batches and syncs the file.
 func (f *File) Append(batches []byte) error {
 	framed, err := wal.AppendFrame(nil, f.size, batches)
 	if err != nil {
 		return newError("append", KindFile, err)
 	}
 
-	if err := wal.WriteSync(f.open, framed); err != nil {
+	if err := wal.WriteSync(f.file, framed); err != nil {
 		return newError("append", KindFile, err)
 	}
 
@@ -91,12 +91,12 @@
 	return nil
 }
 
-// Oversized reports whether the file should be written anew.
+// Oversized reports whether the file should be rewritten.
 func (f *File) Oversized(store *Store) bool {
-	return f.size > int64(fileGrowth*store.Bytes()+fileSlack)
+	return f.size > int64(maxFileGrowthFactor*store.Bytes()+maxFileSlackBytes)
 }
 
-// Rewrite replaces the file by what the store holds.
+// Rewrite replaces the contents of the file with the batches of the store.
 func (f *File) Rewrite(store *Store) error {
 	if err := f.rewrite(store); err != nil {
 		return newError("rewrite", KindFile, err)
@@ -126,19 +126,19 @@
 	}
 
 	f.size = int64(len(contents))
-	f.open, err = f.files.Append(f.path(fileName))
+	f.file, err = f.files.Append(f.path(fileName))
 
 	return err
 }
 
 // Close closes the file.
 func (f *File) Close() error {
-	if f.open == nil {
+	if f.file == nil {
 		return nil
 	}
 
-	open := f.open
-	f.open = nil
+	file := f.file
+	f.file = nil
 
-	return open.Close()
+	return file.Close()
 }
--- a/internal/state/checkpoint/store.go
+++ b/internal/state/checkpoint/store.go
@@ -7,93 +7,95 @@
 )
 
 const (
-	// forgetAfter is when the flows of an agent that is not heard any more are
-	// forgotten: clients have given up idle flows by then.
-	forgetAfter = 75 * time.Second
-
-	// slack and growth bound what the batches of an agent may take beyond those
-	// of a whole one, before the agent is asked for a new whole one.
-	slack  = 4 << 10
-	growth = 4
+	// checkpointTTL is how long the flows of an unreachable agent are kept. After
+	// that time clients have given up idle flows.
+	checkpointTTL = 75 * time.Second
+
+	// The agent is asked for a new full batch when its batches exceed
+	// maxGrowthFactor times the size of the last full one by more than
+	// maxSlackBytes.
+	maxSlackBytes   = 4 << 10
+	maxGrowthFactor = 4
 )
 
-// kept is what a store holds of one agent.
-type kept struct {
-	born     int64
-	epoch    uint64
-	position uint64
-	encoded  []byte // batches, one behind the other; the first is from position 0
-	whole    int    // bytes of the first batch
-	heard    time.Time
+// agentCheckpoint holds the batches of one agent.
+type agentCheckpoint struct {
+	backendStart int64
+	epoch        uint64
+	position     uint64
+	encoded      []byte // concatenated batches; the first is a full one, from position 0
+	fullBytes    int    // size of the first batch
+	lastSeen     time.Time
 }
 
-// Store holds the checkpoints of agents at a controller. One goroutine at a
-// time uses it.
+// Store holds the checkpoints of agents at a controller. It is not safe for
+// concurrent use.
 type Store struct {
-	agents map[flow.Endpoint]*kept
+	agents map[flow.Endpoint]*agentCheckpoint
 	bytes  int
 }
 
 // NewStore returns an empty store.
-func NewStore() *Store { return &Store{agents: make(map[flow.Endpoint]*kept)} }
+func NewStore() *Store { return &Store{agents: make(map[flow.Endpoint]*agentCheckpoint)} }
 
-// Bytes returns the size of all batches.
+// Bytes returns the total size of all batches.
 func (s *Store) Bytes() int { return s.bytes }
 
-// Flush drops everything.
+// Flush removes all checkpoints.
 func (s *Store) Flush() {
 	clear(s.agents)
 
 	s.bytes = 0
 }
 
-// Acknowledgement tells an agent what a store has of it.
+// Acknowledgement tells an agent which of its changes a store has.
 type Acknowledgement struct {
-	Epoch    uint64 `cbor:"1,keyasint"` // start of the agent that the position belongs to
-	Position uint64 `cbor:"2,keyasint"` // the agent may go on from here; 0 if it has to send all flows
+	Epoch    uint64 `cbor:"1,keyasint"` // epoch that the position belongs to
+	Position uint64 `cbor:"2,keyasint"` // the next batch starts here; 0 if the agent has to send all flows
 }
 
-// Apply keeps a batch if it continues what is kept. Encoded is the batch as it
-// arrived; the store keeps a copy.
+// Apply stores a batch that is full or starts at the stored position. Encoded is
+// the batch as it was received; the store keeps a copy.
 func (s *Store) Apply(now time.Time, batch Batch, encoded []byte) (ack Acknowledgement, applied bool) {
-	known := s.agents[batch.Agent]
-	nothing := Acknowledgement{Epoch: batch.Epoch}
+	stored := s.agents[batch.Agent]
+	fullRequest := Acknowledgement{Epoch: batch.Epoch}
 
 	switch {
-	case known == nil && batch.From > 0:
-		return nothing, false
-	case known != nil && (batch.Born < known.born || (batch.Born == known.born && batch.Epoch < known.epoch)):
-		return Acknowledgement{Epoch: known.epoch}, false // of an earlier start
-	case known != nil && batch.Epoch == known.epoch && batch.To <= known.position:
-		return Acknowledgement{Epoch: known.epoch, Position: known.position}, false
+	case stored == nil && batch.From > 0:
+		return fullRequest, false
+	case stored != nil && (batch.Born < stored.backendStart ||
+		(batch.Born == stored.backendStart && batch.Epoch < stored.epoch)):
+		return Acknowledgement{Epoch: stored.epoch}, false // the batch is of an earlier start
+	case stored != nil && batch.Epoch == stored.epoch && batch.To <= stored.position:
+		return Acknowledgement{Epoch: stored.epoch, Position: stored.position}, false
 	case batch.From == 0:
-		if known != nil {
-			s.bytes -= len(known.encoded)
+		if stored != nil {
+			s.bytes -= len(stored.encoded)
 		}
 
-		known = &kept{born: batch.Born, epoch: batch.Epoch, whole: len(encoded)}
-		s.agents[batch.Agent] = known
-	case batch.Epoch != known.epoch || batch.Born != known.born:
-		return nothing, false
-	case batch.From != known.position:
-		return Acknowledgement{Epoch: known.epoch, Position: known.position}, false
+		stored = &agentCheckpoint{backendStart: batch.Born, epoch: batch.Epoch, fullBytes: len(encoded)}
+		s.agents[batch.Agent] = stored
+	case batch.Epoch != stored.epoch || batch.Born != stored.backendStart:
+		return fullRequest, false
+	case batch.From != stored.position:
+		return Acknowledgement{Epoch: stored.epoch, Position: stored.position}, false
 	}
 
-	known.encoded = append(known.encoded, encoded...)
-	known.position, known.heard = batch.To, now
+	stored.encoded = append(stored.encoded, encoded...)
+	stored.position, stored.lastSeen = batch.To, now
 	s.bytes += len(encoded)
 
-	if len(known.encoded) > growth*known.whole+slack {
-		return nothing, true
+	if len(stored.encoded) > maxGrowthFactor*stored.fullBytes+maxSlackBytes {
+		return fullRequest, true
 	}
 
-	return Acknowledgement{Epoch: known.epoch, Position: known.position}, true
+	return Acknowledgement{Epoch: stored.epoch, Position: stored.position}, true
 }
 
 // Recall returns the batches of an agent.
 func (s *Store) Recall(agent flow.Endpoint) []byte {
-	if known := s.agents[agent]; known != nil {
-		return known.encoded
+	if stored := s.agents[agent]; stored != nil {
+		return stored.encoded
 	}
 
 	return nil
@@ -102,25 +104,26 @@
 // All returns the batches of all agents, one slice for each.
 func (s *Store) All() [][]byte {
 	all := make([][]byte, 0, len(s.agents))
-	for _, known := range s.agents {
-		all = append(all, known.encoded)
+	for _, stored := range s.agents {
+		all = append(all, stored.encoded)
 	}
 
 	return all
 }
 
-// Touch notes that an agent was heard.
+// Touch records that an agent is reachable.
 func (s *Store) Touch(now time.Time, agent flow.Endpoint) {
-	if known := s.agents[agent]; known != nil {
-		known.heard = now
+	if stored := s.agents[agent]; stored != nil {
+		stored.lastSeen = now
 	}
 }
 
-// Expire forgets the agents that were not heard for long.
+// Expire removes the checkpoints of agents that have been unreachable for longer
+// than checkpointTTL.
 func (s *Store) Expire(now time.Time) {
-	for agent, known := range s.agents {
-		if now.Sub(known.heard) > forgetAfter {
-			s.bytes -= len(known.encoded)
+	for agent, stored := range s.agents {
+		if now.Sub(stored.lastSeen) > checkpointTTL {
+			s.bytes -= len(stored.encoded)
 			delete(s.agents, agent)
 		}
 	}
--- a/internal/state/checkpoint/tracker.go
+++ b/internal/state/checkpoint/tracker.go
@@ -5,66 +5,67 @@
 )
 
 const (
-	// ackStep is the progress of a client after which its flow is sent again. A
-	// reset has to name about the last byte that the client acknowledged; this
-	// is half of the smallest receive window in use.
-	ackStep = 32 << 10
-
-	// maxClosed bounds the closed flows that are kept for controllers that do
-	// not answer. One that lacks older ones gets all flows instead.
-	maxClosed = 4096
+	// minAckProgressBytes is the number of newly acknowledged bytes after which a
+	// flow is sent again. The sequence number of a reset has to be close to the last
+	// byte that the client acknowledged; this is half of the smallest receive window
+	// in use.
+	minAckProgressBytes = 32 << 10
+
+	// maxClosedFlows limits the closed flows that are kept for unresponsive
+	// controllers. A controller that lacks older ones is sent all flows instead.
+	maxClosedFlows = 4096
 )
 
-// tracked is a flow as it was at a position.
-type tracked struct {
+// trackedFlow is the state of a flow and the position of its last change.
+type trackedFlow struct {
 	acknowledged uint32
 	position     uint64
 }
 
-// Tracker tells which changes of an agent's flows each controller lacks. One
-// goroutine at a time uses it.
+// Tracker determines which changes of an agent's flows each controller lacks. It is
+// not safe for concurrent use.
 type Tracker struct {
-	agent    flow.Endpoint
-	epoch    uint64
-	born     int64
-	position uint64
-	horizon  uint64 // changes up to here are only known as a whole
-	flows    map[flow.Key]tracked
-	closed   map[flow.Key]uint64 // position of the end
-	acked    map[flow.Endpoint]uint64
+	agent        flow.Endpoint
+	epoch        uint64
+	backendStart int64 // Unix milliseconds
+	position     uint64
+	deltaStart   uint64 // controllers behind this position are sent all flows
+	flows        map[flow.Key]trackedFlow
+	closed       map[flow.Key]uint64 // position at which each flow was closed
+	acked        map[flow.Endpoint]uint64
 }
 
-// NewTracker returns a tracker of an agent. The epoch is its start; a later
-// start needs a higher one.
+// NewTracker returns a tracker for an agent. The epoch must be higher than those of
+// earlier starts of the agent.
 func NewTracker(agent flow.Endpoint, epoch uint64) *Tracker {
 	return &Tracker{
-		agent: agent, epoch: epoch, flows: make(map[flow.Key]tracked), closed: make(map[flow.Key]uint64),
+		agent: agent, epoch: epoch, flows: make(map[flow.Key]trackedFlow), closed: make(map[flow.Key]uint64),
 		acked: make(map[flow.Endpoint]uint64),
 	}
 }
 
-// Observe compares the flows of a backend server with those observed before.
-// Born is the start of the backend server.
-func (t *Tracker) Observe(born int64, flows map[flow.Key]uint32) {
-	if born != t.born {
-		t.born = born
+// Observe compares the flows of a backend server with those observed before and
+// records the changes. A flow maps to the bytes that its client has acknowledged.
+func (t *Tracker) Observe(backendStart int64, flows map[flow.Key]uint32) {
+	if backendStart != t.backendStart {
+		t.backendStart = backendStart
 		t.position++
-		t.horizon = t.position
+		t.deltaStart = t.position
 
 		clear(t.flows)
 		clear(t.closed)
 	}
 
-	next := t.position + 1
+	nextPosition := t.position + 1
 
 	for key, acknowledged := range flows {
 		known, ok := t.flows[key]
-		if ok && acknowledged-known.acknowledged < ackStep {
+		if ok && acknowledged-known.acknowledged < minAckProgressBytes {
 			continue
 		}
 
-		t.flows[key] = tracked{acknowledged: acknowledged, position: next}
-		t.position = next
+		t.flows[key] = trackedFlow{acknowledged: acknowledged, position: nextPosition}
+		t.position = nextPosition
 
 		delete(t.closed, key)
 	}
@@ -73,21 +74,21 @@
 		if _, ok := flows[key]; !ok {
 			delete(t.flows, key)
 
-			t.closed[key] = next
-			t.position = next
+			t.closed[key] = nextPosition
+			t.position = nextPosition
 		}
 	}
 
-	if len(t.closed) > maxClosed {
-		t.horizon = t.position
+	if len(t.closed) > maxClosedFlows {
+		t.deltaStart = t.position
 
 		clear(t.closed)
 	}
 }
 
-// Acknowledge notes what a controller has. A controller that has something of a
-// later start knows the agent from before its clock was set back; the tracker then
-// takes a higher epoch, and all controllers get all flows.
+// Acknowledge records the position that a controller has. If the controller has a
+// higher epoch, the agent's clock was set back since an earlier start; the tracker
+// then takes a higher epoch, and all controllers are sent all flows.
 func (t *Tracker) Acknowledge(controller flow.Endpoint, ack Acknowledgement) {
 	switch {
 	case ack.Epoch > t.epoch:
@@ -101,18 +102,18 @@
 	}
 }
 
-// Batch returns what a controller lacks, and false if that is nothing.
+// Batch returns the changes that a controller lacks, and false if there are none.
 func (t *Tracker) Batch(controller flow.Endpoint) (Batch, bool) {
 	from := t.acked[controller]
 	if from == t.position {
 		return Batch{}, false
 	}
 
-	if from < t.horizon {
+	if from < t.deltaStart {
 		from = 0
 	}
 
-	batch := Batch{Agent: t.agent, Born: t.born, Epoch: t.epoch, From: from, To: t.position}
+	batch := Batch{Agent: t.agent, Born: t.backendStart, Epoch: t.epoch, From: from, To: t.position}
 
 	for key, known := range t.flows {
 		if known.position > from {
@@ -131,22 +132,23 @@
 	return batch, true
 }
 
-// Forget drops the closed flows that all of these controllers know of.
+// Forget drops the closed flows whose end all of these controllers have
+// acknowledged.
 func (t *Tracker) Forget(controllers []flow.Endpoint) {
-	least := t.position
+	minAcked := t.position
 	for _, controller := range controllers {
-		least = min(least, t.acked[controller])
+		minAcked = min(minAcked, t.acked[controller])
 	}
 
-	if least <= t.horizon {
+	if minAcked <= t.deltaStart {
 		return
 	}
 
 	for key, position := range t.closed {
-		if position <= least {
+		if position <= minAcked {
 			delete(t.closed, key)
 		}
 	}
 
-	t.horizon = least
+	t.deltaStart = minAcked
 }
