--- a/internal/state/document/bind.go
+++ b/internal/state/document/bind.go
@@ -13,48 +13,48 @@
 const (
 	maxFaults = 10_000
 
-	// maxNodes bounds what aliases can expand to: 10,000 services that share
-	// one list of 7 full classes fit.
+	// maxNodes limits the number of values after the expansion of aliases. 10,000
+	// services that share one list of 7 full classes stay below it.
 	maxNodes = 1_000_000
 )
 
-// place is one value of the document.
-type place struct {
+// sourceValue describes one value of the document for faults.
+type sourceValue struct {
 	line, column   int
 	found, allowed string
 }
 
 // binder fills the raw types from a YAML tree and collects the faults.
 type binder struct {
-	name    string
-	root    ast.Node
-	anchors map[string]ast.Node
-	nodes   int
-	faults  []Fault
-	omitted int
-	faulted map[string]bool  // paths that have a fault
-	places  map[string]place // nil unless places are recorded
+	name        string
+	root        ast.Node
+	anchors     map[string]ast.Node
+	nodes       int
+	faults      []Fault
+	omitted     int
+	faultyPaths map[string]bool        // paths that have a fault
+	recorded    map[string]sourceValue // values by path; nil unless they are recorded
 }
 
 func newBinder(name string) *binder {
-	return &binder{name: name, faulted: map[string]bool{}}
+	return &binder{name: name, faultyPaths: map[string]bool{}}
 }
 
 func (b *binder) bindRoot(root ast.Node, raw *rawDocument) {
 	b.root = root
 	b.anchors = map[string]ast.Node{}
-	b.bind(root, reflect.ValueOf(raw).Elem(), location{}, fieldRule{allowed: "a mapping"})
+	b.bind(root, reflect.ValueOf(raw).Elem(), valuePath{}, fieldRule{allowed: "a mapping"})
 }
 
-// location is the place of a value, from the inside out. It is rendered only for
-// faults: most documents have none.
-type location struct {
-	parent *location
+// valuePath is the path of a value, linked from the value to its parents. It is
+// formatted only for faults, because most documents have none.
+type valuePath struct {
+	parent *valuePath
 	key    string
 	index  int
 }
 
-func (p *location) String() string {
+func (p *valuePath) String() string {
 	if p.parent == nil {
 		return ""
 	}
@@ -71,67 +71,68 @@
 	}
 }
 
-// exhausted reports whether aliases expand to more than maxNodes values.
-func (b *binder) exhausted() bool { return b.nodes > maxNodes }
+// exceedsMaxNodes reports whether aliases expand to more than maxNodes values.
+func (b *binder) exceedsMaxNodes() bool { return b.nodes > maxNodes }
 
-func (b *binder) bind(node ast.Node, target reflect.Value, at location, rule fieldRule) {
-	if b.exhausted() {
+func (b *binder) bind(node ast.Node, target reflect.Value, path valuePath, rule fieldRule) {
+	if b.exceedsMaxNodes() {
 		return
 	}
 
 	b.nodes++
-	if b.exhausted() {
-		// This fault explains why the search ends, so it gets a place.
+	if b.exceedsMaxNodes() {
+		// This fault explains why the search stops, so it must not be omitted.
 		b.faults = b.faults[:min(len(b.faults), maxFaults-1)]
-		b.add(&at, node, "more values through aliases", fmt.Sprintf("at most %d values", maxNodes))
+		b.add(&path, node, "more values through aliases", fmt.Sprintf("at most %d values", maxNodes))
 
 		return
 	}
 
 	if anchor, ok := node.(*ast.AnchorNode); ok {
-		b.bind(anchor.Value, target, at, rule)
+		b.bind(anchor.Value, target, path, rule)
 		// Registered after its value, so that no alias can contain itself.
-		b.anchors[text(anchor.Name)] = anchor.Value
+		b.anchors[scalarText(anchor.Name)] = anchor.Value
 
 		return
 	}
 
 	if alias, ok := node.(*ast.AliasNode); ok {
-		value, ok := b.anchors[text(alias.Value)]
+		value, ok := b.anchors[scalarText(alias.Value)]
 		if !ok {
-			b.add(&at, node, "alias "+quote(text(alias.Value)), "an alias of an anchor further up")
+			b.add(&path, node, "alias "+quote(scalarText(alias.Value)), "an alias of an anchor further up")
 
 			return
 		}
 
-		b.bind(value, target, at, rule)
+		b.bind(value, target, path, rule)
 
 		return
 	}
 
-	if b.places != nil {
+	if b.recorded != nil {
 		line, column := position(node)
-		b.places[at.String()] = place{line: line, column: column, found: describe(node), allowed: rule.allowed}
+		b.recorded[path.String()] = sourceValue{line: line, column: column, found: describe(node), allowed: rule.allowed}
 	}
 
-	if !b.bindValue(node, target, &at, rule) {
-		b.add(&at, node, describe(node), rule.allowed)
+	if !b.bindValue(node, target, &path, rule) {
+		b.add(&path, node, describe(node), rule.allowed)
 	}
 }
 
-// bindValue reports whether the node has the form of the target.
-func (b *binder) bindValue(node ast.Node, target reflect.Value, at *location, rule fieldRule) bool {
+// bindValue stores the node in the target and reports whether the node has the
+// target's type.
+func (b *binder) bindValue(node ast.Node, target reflect.Value, path *valuePath, rule fieldRule) bool {
 	if value, ok := target.Addr().Interface().(scalar); ok {
 		scalarNode, isScalar := node.(ast.ScalarNode)
 
-		return isScalar && value.parse(text(scalarNode)) == nil
+		return isScalar && value.parse(scalarText(scalarNode)) == nil
 	}
 
 	switch target.Kind() {
 	case reflect.Struct:
-		return b.bindMapping(node, target, at)
+		return b.bindMapping(node, target, path)
 	case reflect.Slice:
-		return b.bindSequence(node, target, at, rule.limit)
+		return b.bindSequence(node, target, path, rule.maxItems)
 	case reflect.String:
 		value, ok := node.(*ast.StringNode)
 		if ok {
@@ -152,16 +153,16 @@
 			return false
 		}
 
-		parsed, err := parseWhole(value.Token.Value)
+		parsed, err := parseDecimal(value.Token.Value)
 		target.SetUint(parsed)
 
 		return err == nil
 	}
 }
 
-// bindSequence refuses lists beyond the limit before it makes room for them:
+// bindSequence refuses lists beyond the limit before it allocates memory for them:
 // 10,000 aliases of one list would take gigabytes.
-func (b *binder) bindSequence(node ast.Node, target reflect.Value, at *location, limit int) bool {
+func (b *binder) bindSequence(node ast.Node, target reflect.Value, path *valuePath, limit int) bool {
 	sequence, ok := node.(*ast.SequenceNode)
 	if !ok || len(sequence.Values) > limit {
 		return false
@@ -170,13 +171,13 @@
 	target.Set(reflect.MakeSlice(target.Type(), len(sequence.Values), len(sequence.Values)))
 
 	for i, value := range sequence.Values {
-		b.bind(value, target.Index(i), location{parent: at, index: i}, fieldRule{allowed: "a mapping"})
+		b.bind(value, target.Index(i), valuePath{parent: path, index: i}, fieldRule{allowed: "a mapping"})
 	}
 
 	return true
 }
 
-func (b *binder) bindMapping(node ast.Node, target reflect.Value, at *location) bool {
+func (b *binder) bindMapping(node ast.Node, target reflect.Value, path *valuePath) bool {
 	var entries []*ast.MappingValueNode
 
 	switch mapping := node.(type) {
@@ -189,33 +190,33 @@
 	}
 
 	fields := fieldsOf(target.Type())
-	lines := make([]int, len(fields.all)) // 0 until the key was found
+	keyLines := make([]int, len(fields.all)) // 0 until the key is found
 
 	for _, entry := range entries {
-		key := text(entry.Key)
-		below := location{parent: at, key: key}
+		key := scalarText(entry.Key)
+		keyPath := valuePath{parent: path, key: key}
 
 		i, ok := fields.byKey[key]
 		if !ok || entry.Key.IsMergeKey() {
-			b.add(&below, entry.Key, "unknown key "+quote(key), "one of "+fields.keys)
+			b.add(&keyPath, entry.Key, "unknown key "+quote(key), "one of "+fields.keys)
 
 			continue
 		}
 
-		if lines[i] != 0 {
-			b.add(&below, entry.Key, fmt.Sprintf("a second key, first on line %d", lines[i]), "each key once")
+		if keyLines[i] != 0 {
+			b.add(&keyPath, entry.Key, fmt.Sprintf("a second key, first on line %d", keyLines[i]), "each key once")
 
 			continue
 		}
 
-		lines[i], _ = position(entry.Key)
-		lines[i] = max(lines[i], 1)
-		b.bind(entry.Value, target.Field(i), below, fields.all[i])
+		keyLines[i], _ = position(entry.Key)
+		keyLines[i] = max(keyLines[i], 1)
+		b.bind(entry.Value, target.Field(i), keyPath, fields.all[i])
 	}
 
 	for i, field := range fields.all {
-		if lines[i] == 0 && !field.optional {
-			b.add(&location{parent: at, key: field.key}, node, "no value", field.allowed)
+		if keyLines[i] == 0 && !field.optional {
+			b.add(&valuePath{parent: path, key: field.key}, node, "no value", field.allowed)
 		}
 	}
 
@@ -223,7 +224,7 @@
 }
 
 // add records a fault at the position of the node.
-func (b *binder) add(at *location, node ast.Node, found, allowed string) {
+func (b *binder) add(path *valuePath, node ast.Node, found, allowed string) {
 	if len(b.faults) >= maxFaults {
 		b.omitted++
 
@@ -231,11 +232,11 @@
 	}
 
 	line, column := position(node)
-	b.addAt(at.String(), place{line: line, column: column, found: found, allowed: allowed})
+	b.addFault(path.String(), sourceValue{line: line, column: column, found: found, allowed: allowed})
 }
 
-func (b *binder) addAt(at string, where place) {
-	b.faulted[at] = true
+func (b *binder) addFault(path string, value sourceValue) {
+	b.faultyPaths[path] = true
 
 	if len(b.faults) >= maxFaults {
 		b.omitted++
@@ -243,16 +244,16 @@
 		return
 	}
 
-	if at == "" {
-		at = "(document)"
+	if path == "" {
+		path = "(document)"
 	}
 
 	b.faults = append(b.faults, Fault{
-		File: b.name, Line: where.line, Column: where.column, Path: at, Found: where.found, Allowed: where.allowed,
+		File: b.name, Line: value.line, Column: value.column, Path: path, Found: value.found, Allowed: value.allowed,
 	})
 }
 
-func (b *binder) failure() error {
+func (b *binder) invalidError() error {
 	slices.SortStableFunc(b.faults, func(x, y Fault) int {
 		return cmp.Or(cmp.Compare(x.Line, y.Line), cmp.Compare(x.Column, y.Column))
 	})
@@ -276,13 +277,13 @@
 		return 0, 0
 	}
 
-	at := node.GetToken().Position
+	start := node.GetToken().Position
 
-	return at.Line, at.Column
+	return start.Line, start.Column
 }
 
-// text returns the text of a scalar as it was written, without quotes.
-func text(node ast.Node) string {
+// scalarText returns the text of a scalar as written, without quotes.
+func scalarText(node ast.Node) string {
 	if node == nil || node.GetToken() == nil {
 		return ""
 	}
@@ -300,7 +301,7 @@
 	return fmt.Sprintf("%q", value)
 }
 
-// describe names a value in a fault.
+// describe returns the text for a value in a fault.
 func describe(node ast.Node) string {
 	switch value := node.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
@@ -312,7 +313,7 @@
 	case *ast.StringNode:
 		return quote(value.Value)
 	case *ast.IntegerNode, *ast.FloatNode, *ast.BoolNode:
-		return strings.Trim(quote(text(value)), `"`)
+		return strings.Trim(quote(scalarText(value)), `"`)
 	default:
 		return "a " + strings.ToLower(node.Type().String())
 	}
--- a/internal/state/document/check.go
+++ b/internal/state/document/check.go
@@ -21,7 +21,7 @@
 	key      string
 	optional bool
 	allowed  string
-	limit    int // longest list
+	maxItems int // maximum length of a list
 }
 
 var fieldTables sync.Map // reflect.Type to *fieldTable
@@ -42,9 +42,9 @@
 
 		switch key {
 		case "services":
-			rule.limit = MaxServices
+			rule.maxItems = MaxServices
 		case "classes":
-			rule.limit = MaxClasses
+			rule.maxItems = MaxClasses
 		}
 
 		table.all = append(table.all, rule)
@@ -64,54 +64,54 @@
 	return key
 }
 
-// violation is a broken rule that is found after binding, when only the path
-// is known.
+// violation is a broken rule that is found after binding, when only the path of
+// the value is known.
 type violation struct {
 	path           string
-	found, allowed string // empty: as recorded for the path
+	found, allowed string // if empty, those recorded for the path
 }
 
 // validate applies the rules in the tags of the raw types.
 func (b *binder) validate(raw *rawDocument) {
 	var failed validator.ValidationErrors
-	if !errors.As(rules().Struct(raw), &failed) {
+	if !errors.As(structValidator().Struct(raw), &failed) {
 		return
 	}
 
 	violations := make([]violation, 0, len(failed))
 
 	for _, failure := range failed {
-		_, at, _ := strings.Cut(failure.Namespace(), ".")
-		violations = append(violations, violation{path: at})
+		_, path, _ := strings.Cut(failure.Namespace(), ".")
+		violations = append(violations, violation{path: path})
 	}
 
-	b.locate(violations)
+	b.addViolations(violations)
 }
 
-// locate adds the violations as faults. It binds the tree a second time to
-// learn the places: recording them always would double the cost of documents
-// without faults. A path that has a fault already, or lies inside a value that
-// could not be read, is left out, because its value is unknown.
-func (b *binder) locate(violations []violation) {
+// addViolations adds the violations as faults. It binds the tree a second time to
+// find the positions: always recording them would double the cost of documents
+// without faults. A path that already has a fault, or lies inside a value that
+// could not be read, is skipped, because its value is unknown.
+func (b *binder) addViolations(violations []violation) {
 	if len(violations) == 0 {
 		return
 	}
 
 	recorder := newBinder(b.name)
-	recorder.places = map[string]place{}
+	recorder.recorded = map[string]sourceValue{}
 	recorder.bindRoot(b.root, &rawDocument{})
 
-	for _, found := range violations {
-		where, ok := recorder.places[found.path]
-		if !ok || recorder.faulted[found.path] {
+	for _, violated := range violations {
+		value, ok := recorder.recorded[violated.path]
+		if !ok || recorder.faultyPaths[violated.path] {
 			continue
 		}
 
-		if found.allowed != "" {
-			where.found, where.allowed = found.found, found.allowed
+		if violated.allowed != "" {
+			value.found, value.allowed = violated.found, violated.allowed
 		}
 
-		b.addAt(found.path, where)
+		b.addFault(violated.path, value)
 	}
 }
 
@@ -120,68 +120,69 @@
 	var violations []violation
 
 	names, addresses := map[string]int{}, map[string]int{}
-	report := func(at, found, allowed string) {
-		violations = append(violations, violation{path: at, found: found, allowed: allowed})
+	report := func(path, found, allowed string) {
+		violations = append(violations, violation{path: path, found: found, allowed: allowed})
 	}
 
 	for i := range raw.Services {
 		service := &raw.Services[i]
-		at := fmt.Sprintf("services[%d]", i)
+		path := fmt.Sprintf("services[%d]", i)
 		address := service.Address.parsed.String()
 
-		if first, ok := claim(names, service.Name, i); !ok {
-			report(at+".name", quote(service.Name), fmt.Sprintf("a name other than that of services[%d]", first))
+		if first, ok := setIfAbsent(names, service.Name, i); !ok {
+			report(path+".name", quote(service.Name), fmt.Sprintf("a name other than that of services[%d]", first))
 		}
 
-		if first, ok := claim(addresses, address, i); !ok && service.Address.parsed.IsValid() {
-			report(at+".address", quote(address), fmt.Sprintf("an address other than that of services[%d]", first))
+		if first, ok := setIfAbsent(addresses, address, i); !ok && service.Address.parsed.IsValid() {
+			report(path+".address", quote(address), fmt.Sprintf("an address other than that of services[%d]", first))
 		}
 
-		checkClasses(service.Classes, at, report)
+		checkClasses(service.Classes, path, report)
 	}
 
-	b.locate(violations)
+	b.addViolations(violations)
 }
 
-func checkClasses(classes []rawClass, at string, report func(at, found, allowed string)) {
+func checkClasses(classes []rawClass, servicePath string, report func(path, found, allowed string)) {
 	names, routes := map[string]int{}, map[string]int{}
 	share := uint64(0)
 
 	for i := range classes {
 		class := &classes[i]
-		here := fmt.Sprintf("%s.classes[%d]", at, i)
+		classPath := fmt.Sprintf("%s.classes[%d]", servicePath, i)
 
-		if first, ok := claim(names, class.Name, i); !ok {
-			report(here+".name", quote(class.Name), fmt.Sprintf("a name other than that of classes[%d]", first))
+		if first, ok := setIfAbsent(names, class.Name, i); !ok {
+			report(classPath+".name", quote(class.Name), fmt.Sprintf("a name other than that of classes[%d]", first))
 		}
 
 		route := class.Method + " " + class.Path
-		if first, ok := claim(routes, route, i); !ok {
-			report(here+".path", quote(route),
+		if first, ok := setIfAbsent(routes, route, i); !ok {
+			report(classPath+".path", quote(route),
 				fmt.Sprintf("a method and path other than those of classes[%d]", first))
 		}
 
 		// A feed resumes by event ID, which repeats its request.
 		if class.Feed && (class.Method != "GET" || !class.Idempotent) {
-			report(here+".feed", "true", "false, or true with method GET and idempotent true")
+			report(classPath+".feed", "true", "false, or true with method GET and idempotent true")
 		}
 
 		share += min(uint64(class.MinShare), 100)
 	}
 
 	if share > 100 {
-		report(at+".classes", fmt.Sprintf("a sum of min_share of %d%%", share), "a sum of at most 100%")
+		report(servicePath+".classes", fmt.Sprintf("a sum of min_share of %d%%", share), "a sum of at most 100%")
 	}
 }
 
-// claim records the first user of a key and reports whether it is this one.
-func claim(users map[string]int, key string, user int) (first int, ok bool) {
-	first, taken := users[key]
+// setIfAbsent stores the index of a key unless the key already has one. It returns
+// the stored index and reports whether it is the new one.
+func setIfAbsent(indexes map[string]int, key string, index int) (first int, ok bool) {
+	first, taken := indexes[key]
 	if taken {
 		return first, false
 	}
 
-	users[key] = user
+	indexes[key] = index
 
-	return user, true
+	return index, true
 }
--- a/internal/state/document/diff.go
+++ b/internal/state/document/diff.go
@@ -7,7 +7,7 @@
 	"jayspindle/internal/state/view"
 )
 
-// ChangeKind tells what happened to a service, a class or one of their fields.
+// ChangeKind is the type of a change to a service, a class or one of their fields.
 type ChangeKind string
 
 // The kinds of changes.
@@ -43,8 +43,8 @@
 }
 
 // Diff returns the changes that lead from old to next: removed services
-// first, then the services of next in their order. Either may be nil, which
-// stands for a document without services.
+// first, then the services of next in their order. A nil document counts as one
+// without services.
 func Diff(old, next *Document) []Change {
 	var before, after []view.Service
 	if old != nil {
@@ -63,7 +63,7 @@
 
 // diffItems compares two lists of named items.
 func diffItems[T any](
-	old, next []T, name func(*T) string, whole func(ChangeKind, *T) Change, fields func(a, b *T) []Change,
+	old, next []T, name func(*T) string, wholeChange func(ChangeKind, *T) Change, diffFields func(a, b *T) []Change,
 ) []Change {
 	var changes []Change
 
@@ -71,15 +71,15 @@
 
 	for i := range old {
 		if after[name(&old[i])] == nil {
-			changes = append(changes, whole(Removed, &old[i]))
+			changes = append(changes, wholeChange(Removed, &old[i]))
 		}
 	}
 
 	for i := range next {
 		if previous := before[name(&next[i])]; previous != nil {
-			changes = append(changes, fields(previous, &next[i])...)
+			changes = append(changes, diffFields(previous, &next[i])...)
 		} else {
-			changes = append(changes, whole(Added, &next[i]))
+			changes = append(changes, wholeChange(Added, &next[i]))
 		}
 	}
 
@@ -96,15 +96,15 @@
 }
 
 func diffService(a, b *view.Service) []Change {
-	fields := fieldList{of: Change{Kind: Changed, Service: a.Name}}
+	fields := fieldList{base: Change{Kind: Changed, Service: a.Name}}
 	fields.compare("address", a.Address.String(), b.Address.String())
 	fields.compare("key", FormatKey(a.PublicKey), FormatKey(b.PublicKey))
-	fields.compare("slots", number(a.Slots), number(b.Slots))
-	fields.compare("connections", number(a.Connections), number(b.Connections))
-	fields.compare("buckets", number(a.Buckets), number(b.Buckets))
-	fields.compare("first_packets", rate(a.Limits.FirstPackets), rate(b.Limits.FirstPackets))
+	fields.compare("slots", formatNumber(a.Slots), formatNumber(b.Slots))
+	fields.compare("connections", formatNumber(a.Connections), formatNumber(b.Connections))
+	fields.compare("buckets", formatNumber(a.Buckets), formatNumber(b.Buckets))
+	fields.compare("first_packets", formatRate(a.Limits.FirstPackets), formatRate(b.Limits.FirstPackets))
 	fields.compare("first_packets_per_source",
-		rate(a.Limits.FirstPacketsPerSource), rate(b.Limits.FirstPacketsPerSource))
+		formatRate(a.Limits.FirstPacketsPerSource), formatRate(b.Limits.FirstPacketsPerSource))
 
 	classes := diffItems(a.Classes, b.Classes,
 		func(c *view.Class) string { return c.Name },
@@ -115,13 +115,13 @@
 }
 
 func diffClass(service string, a, b *view.Class) []Change {
-	fields := fieldList{of: Change{Kind: Changed, Service: service, Class: a.Name}}
+	fields := fieldList{base: Change{Kind: Changed, Service: service, Class: a.Name}}
 	fields.compare("method", a.Method, b.Method)
 	fields.compare("path", a.PathPrefix, b.PathPrefix)
-	fields.compare("urgency", number(a.Urgency), number(b.Urgency))
+	fields.compare("urgency", formatNumber(a.Urgency), formatNumber(b.Urgency))
 	fields.compare("idempotent", strconv.FormatBool(a.Idempotent), strconv.FormatBool(b.Idempotent))
 	fields.compare("deadline", a.Deadline.String(), b.Deadline.String())
-	fields.compare("min_share", number(a.MinSharePercent)+"%", number(b.MinSharePercent)+"%")
+	fields.compare("min_share", formatNumber(a.MinSharePercent)+"%", formatNumber(b.MinSharePercent)+"%")
 	fields.compare("feed", strconv.FormatBool(a.Feed), strconv.FormatBool(b.Feed))
 
 	return fields.changes
@@ -129,7 +129,7 @@
 
 // fieldList collects the changed fields of one service or class.
 type fieldList struct {
-	of      Change
+	base    Change
 	changes []Change
 }
 
@@ -138,17 +138,19 @@
 		return
 	}
 
-	change := f.of
+	change := f.base
 	change.Field, change.Old, change.New = field, old, next
 	f.changes = append(f.changes, change)
 }
 
-func number[T uint8 | uint16 | uint32](value T) string { return strconv.FormatUint(uint64(value), 10) }
+func formatNumber[T uint8 | uint16 | uint32](value T) string {
+	return strconv.FormatUint(uint64(value), 10)
+}
 
-func rate(value uint32) string {
+func formatRate(value uint32) string {
 	if value == 0 {
 		return "unlimited"
 	}
 
-	return number(value) + "/s"
+	return formatNumber(value) + "/s"
 }
--- a/internal/state/document/document.go
+++ b/internal/state/document/document.go
@@ -1,5 +1,5 @@
-// Package document reads the YAML document in which operators describe one
-// environment: its services, their limits and their classes of requests.
+// Package document parses the YAML document in which operators describe one
+// environment: its services, their limits and their request classes.
 //
 // # Usage
 //
@@ -23,8 +23,8 @@
 	"jayspindle/internal/state/view"
 )
 
-// Limits of a document. They bound the work that one submission can cause on
-// every controller.
+// Limits of a document. They bound the work that one submission causes on each
+// controller.
 const (
 	MaxBytes    = 1 << 20
 	MaxServices = 10_000
@@ -39,9 +39,9 @@
 	services []view.Service
 }
 
-// Parse reads and validates a document. The name stands for the file in
-// faults. The error is a *Error that lists every fault; syntax errors end the
-// search, because nothing after them has a reliable meaning.
+// Parse parses and validates a document. The name is used as the file name in
+// faults. The error is a *Error that lists every fault. Parsing stops at a syntax
+// error, because nothing after it can be interpreted reliably.
 func Parse(name string, data []byte) (*Document, error) {
 	if len(data) > MaxBytes {
 		return nil, newError("parse "+name, KindSize,
@@ -58,15 +58,15 @@
 	binder := newBinder(name)
 	binder.bindRoot(root, &raw)
 
-	if binder.exhausted() {
-		return nil, binder.failure()
+	if binder.exceedsMaxNodes() {
+		return nil, binder.invalidError()
 	}
 
 	binder.validate(&raw)
 	binder.checkUnique(&raw)
 
 	if len(binder.faults) > 0 {
-		return nil, binder.failure()
+		return nil, binder.invalidError()
 	}
 
 	return &Document{digest: Digest(data), services: raw.convert()}, nil
--- a/internal/state/document/document_test.go
+++ b/internal/state/document/document_test.go
@@ -66,7 +66,7 @@
 	is.Equal(strings.Join(found, "\n"), strings.Join(want, "\n"))
 }
 
-// Guards against values that reach the view changed.
+// Guards against values that differ between the document and the view.
 func TestParse(t *testing.T) {
 	is := is.New(t)
 	services := parse(t, valid).Services()
@@ -87,8 +87,8 @@
 	is.Equal(services[1].Classes, services[0].Classes) // through the alias
 }
 
-// Guards against rules that a document can break unnoticed, and against faults
-// that do not lead the operator to the place.
+// Guards against violations that go undetected, and against faults without the
+// correct line and key.
 func TestFaults(t *testing.T) {
 	for _, test := range []struct{ old, next, want string }{
 		{"schema: 1", "schema: 2", "1:9: schema: found 2, allowed: 1"},
@@ -124,23 +124,22 @@
 	}
 }
 
-// Guards against faults of a class that is shared through an alias being
-// reported for one of its services only, and against a report that stops at
-// the first fault.
+// Guards against faults in a class shared through an alias that are reported for
+// only one of its services, and against reports that stop at the first fault.
 func TestAllFaultsAtOnce(t *testing.T) {
 	text := strings.NewReplacer(
 		"slots: 3", "sluts: 3", "2s", "2", "min_share: 10%", "min_share: 110%", "90s", "11m", "method: POST", "method: GET",
 	).Replace(valid)
 
-	at := func(line string, service int, fault string) string {
+	faultAt := func(line string, service int, fault string) string {
 		return fmt.Sprintf("a.yaml:%s: services[%d].%s", line, service, fault)
 	}
 
 	var want []string
 
 	want = append(want,
-		at("3:5", 0, "slots: found no value, allowed: 1 to 1000"),
-		at("6:5", 0, `sluts: found unknown key "sluts", allowed: one of `+
+		faultAt("3:5", 0, "slots: found no value, allowed: 1 to 1000"),
+		faultAt("6:5", 0, `sluts: found unknown key "sluts", allowed: one of `+
 			"name, address, key, slots, connections, buckets, limits, classes"))
 
 	for _, fault := range []struct{ line, text string }{
@@ -149,39 +148,41 @@
 		{"17:19", "classes[1].deadline: found 2, allowed: a duration with a unit, 1ms to 10m"},
 		{"18:20", `classes[1].min_share: found "110%", allowed: a whole percentage, 0% to 100%`},
 	} {
-		want = append(want, at(fault.line, 0, fault.text), at(fault.line, 1, fault.text))
+		want = append(want, faultAt(fault.line, 0, fault.text), faultAt(fault.line, 1, fault.text))
 	}
 
 	assertFaults(t, text, want...)
 }
 
-// Guards against rules over several classes that are not applied.
+// Guards against rules on several classes that are not applied.
 func TestClassRules(t *testing.T) {
-	one := func(classes string) string {
+	documentWith := func(classes string) string {
 		return "schema: 1\nservices:\n- {name: a, address: 127.0.0.1:1, key: '" + key +
 			"', slots: 1, connections: 1, classes: [" + classes + "]}\n"
 	}
-	class := "{name: %s, method: %s, path: %s, urgency: 0, deadline: 1s, min_share: %s, feed: %s}"
+	classTemplate := "{name: %s, method: %s, path: %s, urgency: 0, deadline: 1s, min_share: %s, feed: %s}"
 
-	assertOne := func(want string, classes ...string) {
+	assertSingleFault := func(want string, classes ...string) {
 		t.Helper()
 
-		_, err := document.Parse("a.yaml", []byte(one(strings.Join(classes, ", "))))
+		_, err := document.Parse("a.yaml", []byte(documentWith(strings.Join(classes, ", "))))
 		is.New(t).True(err != nil && strings.Contains(err.Error(), want) && strings.Count(err.Error(), "\n") == 1)
 	}
 
-	assertOne("a sum of min_share of 101%",
-		fmt.Sprintf(class, "a", "GET", "/", "51%", "false"), fmt.Sprintf(class, "b", "PUT", "/", "50%", "false"))
-	assertOne("a name other than", fmt.Sprintf(class, "a", "GET", "/", "51%", "false"),
-		fmt.Sprintf(class, "a", "PUT", "/", "0%", "false"))
-	assertOne("true with method GET and idempotent true", fmt.Sprintf(class, "a", "GET", "/", "51%", "true"))
+	assertSingleFault("a sum of min_share of 101%",
+		fmt.Sprintf(classTemplate, "a", "GET", "/", "51%", "false"),
+		fmt.Sprintf(classTemplate, "b", "PUT", "/", "50%", "false"))
+	assertSingleFault("a name other than", fmt.Sprintf(classTemplate, "a", "GET", "/", "51%", "false"),
+		fmt.Sprintf(classTemplate, "a", "PUT", "/", "0%", "false"))
+	assertSingleFault("true with method GET and idempotent true",
+		fmt.Sprintf(classTemplate, "a", "GET", "/", "51%", "true"))
 
 	for _, path := range []string{"a", "/a/", "//", "/a/../b", "/%61", "/a?b", "/é"} {
-		assertOne("a clean absolute path", fmt.Sprintf(class, "a", "GET", `"`+path+`"`, "0%", "false"))
+		assertSingleFault("a clean absolute path", fmt.Sprintf(classTemplate, "a", "GET", `"`+path+`"`, "0%", "false"))
 	}
 }
 
-// Guards against documents that cost a controller more than their size says.
+// Guards against documents whose parsing costs far more than their size suggests.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 
@@ -194,14 +195,14 @@
 	_, err = document.Parse("a.yaml", []byte("schema: \xff"))
 	is.Equal(kindOf(err), document.KindSyntax)
 
-	_, err = document.Parse("a.yaml", bomb(60))
+	_, err = document.Parse("a.yaml", aliasBomb(60))
 	is.True(strings.Contains(err.Error(), "more values through aliases"))
 
 	var failure *document.Error
 	is.True(errors.As(err, &failure))
 	is.True(len(failure.Faults()) <= 10_000)
 
-	_, err = document.Parse("a.yaml", bomb(5000))
+	_, err = document.Parse("a.yaml", aliasBomb(5000))
 	is.True(strings.Contains(err.Error(), "found a list of 5000, allowed: 1 to 64 classes"))
 
 	for _, fragment := range []string{"a: 1\n", "[\na: 1\n", "? a\n: b\n", "- a:\n  b:\n", "- {a}\n", "- {a: }\n", "-\n"} {
@@ -209,14 +210,14 @@
 		is.True(strings.Contains(err.Error(), "allowed: at most ")) // before the parser spends quadratic time on it
 	}
 
-	self := "schema: 1\nservices: &a [*a]\n"
-	_, err = document.Parse("a.yaml", []byte(self))
+	selfReference := "schema: 1\nservices: &a [*a]\n"
+	_, err = document.Parse("a.yaml", []byte(selfReference))
 	is.True(strings.Contains(err.Error(), "an alias of an anchor further up"))
 }
 
-// bomb returns a document that expands through aliases to 9,000 services with
+// aliasBomb returns a document that expands through aliases to 9,000 services with
 // the given number of classes.
-func bomb(classes int) []byte {
+func aliasBomb(classes int) []byte {
 	class := "{name: a, method: GET, path: /, urgency: 0, deadline: 1s},"
 
 	return []byte("schema: 1\nservices:\n- &a {classes: [" + strings.Repeat(class, classes) + "]}\n" +
@@ -232,7 +233,7 @@
 	return failure.Kind()
 }
 
-// Guards against a controller that an operator's bytes can stop.
+// Guards against a controller that crashes on submitted bytes.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(valid))
 	f.Add([]byte("a: &a [*a]\n? [b\n"))
@@ -242,9 +243,9 @@
 		is.New(t).True((parsed == nil) == (err != nil)) // a document or an error
 
 		if err == nil {
-			again, err := document.Parse("b.yaml", bytes.Clone(data))
+			reparsed, err := document.Parse("b.yaml", bytes.Clone(data))
 			is.New(t).NoErr(err)
-			is.New(t).Equal(len(document.Diff(parsed, again)), 0)
+			is.New(t).Equal(len(document.Diff(parsed, reparsed)), 0)
 		}
 	})
 }
@@ -275,7 +276,7 @@
 	}
 }
 
-// Guards against a change that an operator signs without seeing it.
+// Guards against changes that the diff doesn't show to the operator who signs them.
 func TestDiff(t *testing.T) {
 	is := is.New(t)
 	next := strings.NewReplacer("slots: 3", "slots: 4", "500/s", "1/s", "name: desk", "name: table", "10%", "11%",
@@ -298,8 +299,8 @@
 	is.Equal(len(document.Diff(nil, parse(t, valid))), 2)
 }
 
-// Guards against a caller who reaches the urgency of another class with a path
-// that only looks like one of its paths.
+// Guards against a caller who obtains the urgency of another class with a path that
+// only resembles one of its paths.
 func TestMatch(t *testing.T) {
 	is := is.New(t)
 	matcher := document.NewMatcher([]view.Class{
--- a/internal/state/document/empty.go
+++ b/internal/state/document/empty.go
@@ -6,27 +6,28 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// maxEmptyValues bounds the values that are left out, as in "key:" alone. The
-// YAML parser inserts a token for each of them, which moves all tokens behind
-// it: 1 MiB of "- a:" lines took minutes. A valid document has none.
+// maxEmptyValues limits the number of missing values, as in "key:" alone. The
+// YAML parser inserts a token for each of them, which moves all later tokens: 1 MiB
+// of "- a:" lines took minutes. A valid document has none.
 const maxEmptyValues = 256
 
-// emptyValues counts, with the tokens of a document, places where the parser
-// may insert a value.
+// emptyValues counts the positions between the tokens of a document at which the
+// parser may insert a value.
 type emptyValues struct {
-	count  int
-	colons []int // in each open bracket since its last comma; inSequence in lists
-	before *token.Token
-	key    *token.Token // before the token before
+	count          int
+	colons         []int // colons in each open bracket since its last comma; sequenceBracket in lists
+	previous       *token.Token
+	beforePrevious *token.Token // the token before previous
 }
 
-// inSequence is far below any number of colons.
-const inSequence = -1 << 30
+// sequenceBracket marks the bracket of a list. It is so low that counting colons
+// never makes it positive.
+const sequenceBracket = -1 << 30
 
-// add follows one token that is not a comment and returns the two texts of a
-// fault, or nothing.
+// add processes one token that is not a comment. It returns the texts of a fault if
+// there are too many empty values, and empty strings otherwise.
 func (e *emptyValues) add(current *token.Token) (found, allowed string) {
-	if e.before != nil && e.leftOut(current) {
+	if e.previous != nil && e.isValueMissing(current) {
 		e.count++
 	}
 
@@ -34,7 +35,7 @@
 
 	switch current.Type {
 	case token.SequenceStartType:
-		e.colons = append(e.colons, inSequence)
+		e.colons = append(e.colons, sequenceBracket)
 	case token.MappingStartType:
 		e.colons = append(e.colons, 0)
 	case token.SequenceEndType, token.MappingEndType:
@@ -48,11 +49,11 @@
 			e.colons[top]++
 		}
 	case token.MappingKeyType, token.TagType:
-		e.count++ // neither has a place in a document, and both may lack a value
+		e.count++ // a valid document has neither, and both may lack a value
 	default:
 	}
 
-	e.before, e.key = current, e.before
+	e.previous, e.beforePrevious = current, e.previous
 
 	if e.count > maxEmptyValues {
 		return "more empty values", fmt.Sprintf("at most %d", maxEmptyValues)
@@ -61,34 +62,34 @@
 	return "", ""
 }
 
-// leftOut reports whether a value is missing before the current token.
-func (e *emptyValues) leftOut(current *token.Token) bool {
-	ends := current.Type == token.CollectEntryType || current.Type == token.MappingEndType
-	closes := ends || current.Type == token.SequenceEndType
+// isValueMissing reports whether the value before the current token is missing.
+func (e *emptyValues) isValueMissing(current *token.Token) bool {
+	endsPair := current.Type == token.CollectEntryType || current.Type == token.MappingEndType
+	endsItem := endsPair || current.Type == token.SequenceEndType
 
-	switch e.before.Type {
+	switch e.previous.Type {
 	case token.MappingValueType:
-		return closes || e.key == nil || e.above(current, e.key)
+		return endsItem || e.beforePrevious == nil || e.isOutsideBlock(current, e.beforePrevious)
 	case token.SequenceEntryType:
-		return closes || e.above(current, e.before)
+		return endsItem || e.isOutsideBlock(current, e.previous)
 	case token.MappingStartType, token.CollectEntryType:
 		return false
 	default:
 		// A key without a colon in a flow mapping, as in {a}.
 		top := len(e.colons) - 1
 
-		return ends && top >= 0 && e.colons[top] == 0
+		return endsPair && top >= 0 && e.colons[top] == 0
 	}
 }
 
-// above reports whether the current token is on a later line than the opener
-// of a block and not inside that block.
-func (e *emptyValues) above(current, opener *token.Token) bool {
-	if current.Position.Line == e.before.Position.Line || len(e.colons) > 0 {
+// isOutsideBlock reports whether the current token is on a later line than the first
+// token of a block and not inside that block.
+func (e *emptyValues) isOutsideBlock(current, opener *token.Token) bool {
+	if current.Position.Line == e.previous.Position.Line || len(e.colons) > 0 {
 		return false
 	}
 
-	if current.Type == token.SequenceEntryType && e.before.Type == token.MappingValueType {
+	if current.Type == token.SequenceEntryType && e.previous.Type == token.MappingValueType {
 		return current.Position.Column < opener.Position.Column
 	}
 
--- a/internal/state/document/error.go
+++ b/internal/state/document/error.go
@@ -16,14 +16,14 @@
 	KindKey     Kind = "key"     // a text is not a public key
 )
 
-// Fault is one place in a document that breaks a rule.
+// Fault is one violation of a rule in a document.
 type Fault struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
 	Column  int    `json:"column"`
 	Path    string `json:"path"`    // of the key, as in "services[2].classes[0].deadline"
-	Found   string `json:"found"`   // the value found, shortened
-	Allowed string `json:"allowed"` // what may stand there
+	Found   string `json:"found"`   // the value found, truncated
+	Allowed string `json:"allowed"` // the values allowed
 }
 
 // String returns the fault on one line, as "file:line:column: path: ...".
@@ -71,9 +71,9 @@
 // Kind returns the kind of the error.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Faults returns the faults of the document in the order of its lines. At
-// most 10,000 are kept.
+// Faults returns the faults of the document, sorted by line. At most 10,000 are
+// kept.
 func (e *Error) Faults() []Fault { return e.faults }
 
-// Unwrap returns the cause, nil if the faults are the cause.
+// Unwrap returns the cause, or nil if the error consists of faults.
 func (e *Error) Unwrap() error { return e.err }
--- a/internal/state/document/match.go
+++ b/internal/state/document/match.go
@@ -8,13 +8,13 @@
 	"jayspindle/internal/state/view"
 )
 
-// Matcher selects the class of a request. It is immutable and its method does
-// not allocate.
+// Matcher selects the class of a request. It is immutable, and Match does not
+// allocate.
 type Matcher struct {
 	classes []view.Class // longest path prefix first
 }
 
-// NewMatcher returns a matcher of the classes of one service.
+// NewMatcher returns a matcher for the classes of one service.
 func NewMatcher(classes []view.Class) *Matcher {
 	sorted := slices.Clone(classes)
 	slices.SortStableFunc(sorted, func(a, b view.Class) int { return cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)) })
@@ -26,15 +26,15 @@
 // its path, compared by whole segments. The path is the decoded path of the
 // URL without query. A path with empty or dot segments matches no class: a
 // backend server could resolve it to the path of another class. The caller
-// must not change the class.
+// must not modify the class.
 func (m *Matcher) Match(method, path string) (*view.Class, bool) {
-	if !plainPath(path) {
+	if !isCleanPath(path) {
 		return nil, false
 	}
 
 	for i := range m.classes {
 		class := &m.classes[i]
-		if class.Method == method && hasSegments(path, class.PathPrefix) {
+		if class.Method == method && hasPathPrefix(path, class.PathPrefix) {
 			return class, true
 		}
 	}
@@ -42,7 +42,7 @@
 	return nil, false
 }
 
-func hasSegments(path, prefix string) bool {
+func hasPathPrefix(path, prefix string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
 	}
@@ -50,9 +50,9 @@
 	return len(path) == len(prefix) || prefix == "/" || path[len(prefix)] == '/'
 }
 
-// plainPath reports whether the path is absolute and has no empty segment but
+// isCleanPath reports whether the path is absolute and has no empty segment but
 // the last, and no segment "." or "..".
-func plainPath(path string) bool {
+func isCleanPath(path string) bool {
 	if path == "" || path[0] != '/' {
 		return false
 	}
--- a/internal/state/document/schema.go
+++ b/internal/state/document/schema.go
@@ -15,7 +15,7 @@
 )
 
 // The raw types mirror the keys of a document. A key without "omitempty" is
-// mandatory. The tag "allowed" is the text of the fault.
+// required. The tag "allowed" describes the allowed values in faults.
 type rawDocument struct {
 	Schema   uint64       `yaml:"schema"   validate:"eq=1"           allowed:"1"`
 	Services []rawService `yaml:"services" validate:"min=1,dive" allowed:"1 to 10000 services"`
@@ -50,12 +50,12 @@
 	Feed       bool          `yaml:"feed,omitempty"       allowed:"true or false"`
 }
 
-// scalar is a value that is written as one text.
+// scalar is a value that is parsed from the text of a YAML scalar.
 type scalar interface {
 	parse(text string) error
 }
 
-var errScalar = errors.New("text does not have the form of the value")
+var errInvalidScalar = errors.New("invalid scalar value")
 
 type addressValue struct{ parsed netip.AddrPort }
 
@@ -67,7 +67,7 @@
 
 	addr := parsed.Addr()
 	if parsed.Port() == 0 || addr.IsUnspecified() || addr.IsMulticast() || addr.Is4In6() || addr.Zone() != "" {
-		return errScalar
+		return errInvalidScalar
 	}
 
 	a.parsed = parsed
@@ -88,12 +88,12 @@
 func (r *rateValue) parse(text string) error {
 	number, ok := strings.CutSuffix(text, "/s")
 	if !ok {
-		return errScalar
+		return errInvalidScalar
 	}
 
-	parsed, err := parseWhole(number)
+	parsed, err := parseDecimal(number)
 	if err != nil || parsed == 0 {
-		return errScalar
+		return errInvalidScalar
 	}
 
 	*r = rateValue(parsed)
@@ -106,10 +106,10 @@
 func (p *percentValue) parse(text string) error {
 	number, ok := strings.CutSuffix(text, "%")
 	if !ok {
-		return errScalar
+		return errInvalidScalar
 	}
 
-	parsed, err := parseWhole(number)
+	parsed, err := parseDecimal(number)
 	*p = percentValue(parsed)
 
 	return err
@@ -125,7 +125,7 @@
 func (d *durationValue) parse(text string) error {
 	parsed, err := time.ParseDuration(text)
 	if err != nil || parsed < minDeadline || parsed > maxDeadline {
-		return errScalar
+		return errInvalidScalar
 	}
 
 	*d = durationValue(parsed)
@@ -133,11 +133,11 @@
 	return nil
 }
 
-// parseWhole reads a decimal number. Signs, leading zeros, other bases and
-// digit separators have no place in a document: YAML versions disagree on them.
-func parseWhole(text string) (uint64, error) {
+// parseDecimal parses a decimal number. It refuses signs, leading zeros, other bases
+// and digit separators, because YAML versions disagree on them.
+func parseDecimal(text string) (uint64, error) {
 	if len(text) > 1 && text[0] == '0' {
-		return 0, errScalar
+		return 0, errInvalidScalar
 	}
 
 	return strconv.ParseUint(text, 10, 32)
@@ -166,9 +166,9 @@
 	return buckets == 0 || buckets >= 64 && buckets <= 16384 && buckets&(buckets-1) == 0
 }
 
-// rules returns the validator of the raw types. Building it is slow, and it is
-// safe for concurrent use.
-var rules = sync.OnceValue(func() *validator.Validate {
+// structValidator returns the validator of the raw types. It is built only once,
+// because that is slow, and is safe for concurrent use.
+var structValidator = sync.OnceValue(func() *validator.Validate {
 	validate := validator.New()
 
 	validate.RegisterAlias("method", "oneof=GET HEAD POST PUT PATCH DELETE OPTIONS")
@@ -177,7 +177,7 @@
 		"name": validName, "prefix": validPrefix, "buckets": validBuckets,
 	} {
 		if err := validate.RegisterValidation(name, check); err != nil {
-			panic(err) // only an empty name is refused
+			panic(err) // registration fails only for an empty name
 		}
 	}
 
--- a/internal/state/document/sign.go
+++ b/internal/state/document/sign.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Decision is what an owner decides about a pending change.
+// Decision is the decision of an owner on a pending change.
 type Decision string
 
 // The decisions of an owner.
@@ -18,8 +18,8 @@
 )
 
 // SignedText returns the text that an owner signs: a fixed first line,
-// environment, version, digest in hexadecimal and decision, one per line. All
-// are in it, so that a signature is void for any other change.
+// environment, version, digest in hexadecimal and decision, one per line. It
+// contains all of them, so that a signature is not valid for any other change.
 func SignedText(environment string, version uint64, digest [sha256.Size]byte, decision Decision) []byte {
 	return fmt.Appendf(nil, "jayspindle change\n%s\n%d\n%x\n%s\n", environment, version, digest, decision)
 }
@@ -52,7 +52,7 @@
 	return keyPrefix + base64.StdEncoding.EncodeToString(public)
 }
 
-// ParseKey reads the text form of a public key. The error is a *Error.
+// ParseKey parses the text form of a public key. The error is a *Error.
 func ParseKey(text string) (ed25519.PublicKey, error) {
 	encoded, ok := strings.CutPrefix(text, keyPrefix)
 	if !ok {
@@ -64,7 +64,7 @@
 		return nil, newError("parse key", KindKey, err)
 	}
 
-	// DecodeString skips line breaks, so one key would have many texts.
+	// DecodeString ignores line breaks, so a key would have several text forms.
 	if len(decoded) != ed25519.PublicKeySize || base64.StdEncoding.EncodeToString(decoded) != encoded {
 		return nil, newError("parse key", KindKey,
 			fmt.Errorf("found %d bytes, allowed: %d without line breaks", len(decoded), ed25519.PublicKeySize))
--- a/internal/state/document/tree.go
+++ b/internal/state/document/tree.go
@@ -12,13 +12,13 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// maxNesting bounds the recursion of the YAML parser. Half a million levels
-// fit into 1 MiB and would exhaust the stack, which no recover can stop. A
-// valid document nests five levels deep.
+// maxNesting limits the recursion of the YAML parser. Half a million levels fit
+// into 1 MiB and would overflow the stack, which recover cannot catch. A valid
+// document has five levels.
 const maxNesting = 32
 
-// parseTree returns the root of the only YAML document in data. A panic of the
-// YAML library becomes a syntax error.
+// parseTree returns the root of the only YAML document in data. It returns a panic
+// of the YAML library as a syntax error.
 func parseTree(name string, data []byte) (root ast.Node, err error) {
 	operation := "parse " + name
 
@@ -33,7 +33,7 @@
 	}
 
 	tokens := lexer.Tokenize(string(data))
-	if fault, ok := nestingFault(name, tokens); ok {
+	if fault, ok := findLimitFault(name, tokens); ok {
 		return nil, &Error{operation: operation, kind: KindSyntax, faults: []Fault{fault}}
 	}
 
@@ -64,28 +64,28 @@
 	}}}
 }
 
-// shape follows the tokens of a document and finds what would cost the parser
-// too much: it recurses for each level of nesting, and for each key of a block
-// mapping with a cost that grows with their square. 170,000 keys fit into
-// 1 MiB and took minutes.
-type shape struct {
-	line  int
-	flow  []int // keys in each open bracket
-	row   int   // block entries and keys on this line
-	depth []keyCount
+// sizeChecker finds input that is too expensive for the parser, before it is parsed.
+// The parser recurses for each level of nesting and for each key of a block mapping,
+// and the cost of a mapping is quadratic in its keys. 170,000 keys fit into 1 MiB and
+// took minutes.
+type sizeChecker struct {
+	line         int
+	openBrackets []int // keys in each open bracket
+	lineDepth    int   // block entries and keys on this line
+	openMappings []keyCount
 }
 
-// keyCount is the number of keys of a block mapping at a column.
+// keyCount is the number of keys of the block mapping at a column.
 type keyCount struct{ column, keys int }
 
-// maxKeys bounds the keys of one block mapping. The largest valid one has 8.
-const maxKeys = 64
+// maxMappingKeys limits the keys of one mapping. The largest valid one has 8.
+const maxMappingKeys = 64
 
-// nestingFault looks for nesting deeper than maxNesting, for mappings of more
+// findLimitFault looks for nesting deeper than maxNesting, for mappings of more
 // than maxKeys keys, and for more than maxEmptyValues empty values.
-func nestingFault(name string, tokens token.Tokens) (Fault, bool) {
+func findLimitFault(name string, tokens token.Tokens) (Fault, bool) {
 	var (
-		s shape
+		s sizeChecker
 		e emptyValues
 	)
 
@@ -112,13 +112,14 @@
 	return Fault{}, false
 }
 
-// add follows one token and returns the two texts of a fault, or nothing.
-func (s *shape) add(current *token.Token) (found, allowed string) {
+// add processes one token. It returns the texts of a fault if a limit is exceeded,
+// and empty strings otherwise.
+func (s *sizeChecker) add(current *token.Token) (found, allowed string) {
 	if current.Position.Line != s.line {
-		s.row, s.line = 0, current.Position.Line
+		s.lineDepth, s.line = 0, current.Position.Line
 
-		if len(s.flow) == 0 && s.startLine(current) > maxKeys {
-			return "more keys", fmt.Sprintf("at most %d keys in a mapping", maxKeys)
+		if len(s.openBrackets) == 0 && s.countLineStart(current) > maxMappingKeys {
+			return "more keys", fmt.Sprintf("at most %d keys in a mapping", maxMappingKeys)
 		}
 	}
 
@@ -126,44 +127,44 @@
 
 	switch current.Type {
 	case token.SequenceStartType, token.MappingStartType:
-		s.flow = append(s.flow, 0)
+		s.openBrackets = append(s.openBrackets, 0)
 	case token.SequenceEndType, token.MappingEndType:
-		s.flow = s.flow[:max(len(s.flow)-1, 0)]
+		s.openBrackets = s.openBrackets[:max(len(s.openBrackets)-1, 0)]
 	case token.SequenceEntryType, token.MappingKeyType, token.MappingValueType:
-		if len(s.flow) == 0 {
-			s.row++
+		if len(s.openBrackets) == 0 {
+			s.lineDepth++
 		} else {
-			s.flow[len(s.flow)-1]++
-			keys = s.flow[len(s.flow)-1]
+			s.openBrackets[len(s.openBrackets)-1]++
+			keys = s.openBrackets[len(s.openBrackets)-1]
 		}
 	default:
 	}
 
-	if len(s.flow) > maxNesting || s.row > maxNesting || len(s.depth) > maxNesting {
+	if len(s.openBrackets) > maxNesting || s.lineDepth > maxNesting || len(s.openMappings) > maxNesting {
 		return "deeper nesting", fmt.Sprintf("at most %d levels", maxNesting)
 	}
 
-	if keys > maxKeys {
-		return "more keys", fmt.Sprintf("at most %d keys in a mapping", maxKeys)
+	if keys > maxMappingKeys {
+		return "more keys", fmt.Sprintf("at most %d keys in a mapping", maxMappingKeys)
 	}
 
 	return "", ""
 }
 
-// startLine returns how many lines of the same mapping start at the column of
+// countLineStart returns how many lines of the same mapping start at the column of
 // the line's first token.
-func (s *shape) startLine(first *token.Token) int {
+func (s *sizeChecker) countLineStart(first *token.Token) int {
 	column := first.Position.Column
 
-	for len(s.depth) > 0 && s.depth[len(s.depth)-1].column > column {
-		s.depth = s.depth[:len(s.depth)-1]
+	for len(s.openMappings) > 0 && s.openMappings[len(s.openMappings)-1].column > column {
+		s.openMappings = s.openMappings[:len(s.openMappings)-1]
 	}
 
-	if len(s.depth) == 0 || s.depth[len(s.depth)-1].column < column {
-		s.depth = append(s.depth, keyCount{column: column})
+	if len(s.openMappings) == 0 || s.openMappings[len(s.openMappings)-1].column < column {
+		s.openMappings = append(s.openMappings, keyCount{column: column})
 	}
 
-	top := &s.depth[len(s.depth)-1]
+	top := &s.openMappings[len(s.openMappings)-1]
 	if first.Type != token.SequenceEntryType {
 		top.keys++
 	}
