--- a/internal/state/flow/encode.go
+++ b/internal/state/flow/encode.go
@@ -16,7 +16,8 @@
 	return binary.LittleEndian.AppendUint16(append(buffer, e.IP[:]...), e.Port)
 }
 
-// ParseEndpoint reads an endpoint from at least EndpointBytes bytes.
+// ParseEndpoint decodes an endpoint. The slice must have at least EndpointBytes
+// bytes.
 func ParseEndpoint(encoded []byte) Endpoint {
 	return Endpoint{IP: [4]byte(encoded[:4]), Port: binary.LittleEndian.Uint16(encoded[4:])}
 }
@@ -24,7 +25,7 @@
 // Append appends the encoded key to the buffer: client, then service.
 func (k Key) Append(buffer []byte) []byte { return k.Service.Append(k.Client.Append(buffer)) }
 
-// ParseKey reads a key from at least KeyBytes bytes.
+// ParseKey decodes a key. The slice must have at least KeyBytes bytes.
 func ParseKey(encoded []byte) Key {
 	return Key{Client: ParseEndpoint(encoded), Service: ParseEndpoint(encoded[EndpointBytes:])}
 }
--- a/internal/state/flow/flow.go
+++ b/internal/state/flow/flow.go
@@ -1,6 +1,6 @@
-// Package flow describes the packets of pass-through services: flows whose
-// bytes only their two ends read. The product sees the addresses of both ends,
-// what a packet does to the flow, and the length of its data.
+// Package flow describes the packets of pass-through services, whose payload only
+// the two endpoints of a flow read. A decoded header has the addresses of both
+// endpoints, the effect of the packet on the flow, and the length of its data.
 //
 // # Usage
 //
@@ -9,7 +9,7 @@
 //	key := header.ReplyKey()   // of a packet from a backend server
 //	reset := codec.AppendReset(nil, key, header.Acknowledged)
 //
-// The byte layout belongs to the deployment, which passes in a Codec. IPv6 is
+// The packet format is specific to the deployment, which provides a Codec. IPv6 is
 // not supported: no deployment of pass-through services uses it.
 package flow
 
@@ -46,7 +46,7 @@
 // String returns "address:port".
 func (e Endpoint) String() string { return e.AddrPort().String() }
 
-// Key identifies a flow by its two ends.
+// Key identifies a flow by its two endpoints.
 type Key struct {
 	Client  Endpoint
 	Service Endpoint // the address and port that the client connects to
@@ -72,19 +72,19 @@
 	return x ^ x>>31
 }
 
-// Header is what the product reads of a packet.
+// Header holds the decoded fields of a packet.
 type Header struct {
 	Source      Endpoint
 	Destination Endpoint
 
-	Open     bool // asks to open a flow, or accepts that if Acks is set too
-	Acks     bool // acknowledges what the other end sent
+	Open     bool // requests a new flow, or accepts it if Acks is set too
+	Acks     bool // acknowledges data of the other endpoint
 	Close    bool // the sender has no more data
-	Reset    bool // ends the flow
+	Reset    bool // resets the flow
 	Returned bool // a backend server returned the packet: it does not hold the flow, or cannot accept it
 
 	Sequence     uint32 // of the first byte of data
-	Acknowledged uint32 // next sequence number expected from the other end
+	Acknowledged uint32 // next sequence number expected from the other endpoint
 	Length       int    // bytes of data
 }
 
@@ -94,34 +94,34 @@
 // ReplyKey returns the key of the flow of a packet that a backend server sent.
 func (h Header) ReplyKey() Key { return Key{Client: h.Destination, Service: h.Source} }
 
-// End returns the sequence number behind the data.
+// End returns the sequence number after the last byte of data.
 func (h Header) End() uint32 { return h.Sequence + uint32(h.Length) }
 
-// Opens reports whether a client asks to open a flow.
+// Opens reports whether the packet is a client's request to open a flow.
 func (h Header) Opens() bool { return h.Open && !h.Acks }
 
-// Accepts reports whether a backend server accepts a flow.
+// Accepts reports whether the packet is a backend server's acceptance of a flow.
 func (h Header) Accepts() bool { return h.Open && h.Acks }
 
-// Answer is what an agent says when it is asked for a flow.
+// Answer is the reply of an agent to a query for a flow.
 type Answer uint8
 
 // The answers.
 const (
 	Held   Answer = iota + 1 // its backend server holds the flow
 	Absent                   // its backend server does not hold the flow
-	Unsure                   // it has restarted and does not know
+	Unsure                   // the agent has restarted and does not know
 )
 
 // Codec reads and writes the packets of a deployment. It is safe for
 // concurrent use.
 type Codec interface {
 	// Decode reads the header of a packet. It returns an error for bytes that
-	// are not a whole packet.
+	// are not a complete packet.
 	Decode(packet []byte) (Header, error)
-	// Restore makes a packet that was returned as its sender wrote it.
+	// Restore converts a returned packet back to its original form.
 	Restore(packet []byte)
-	// AppendReset appends a packet that ends a flow at its client. The sequence
+	// AppendReset appends a packet that resets a flow at its client. The sequence
 	// number is the last one that the client acknowledged.
 	AppendReset(buffer []byte, key Key, sequence uint32) []byte
 }
--- a/internal/state/flow/flow_test.go
+++ b/internal/state/flow/flow_test.go
@@ -34,8 +34,8 @@
 	is.True(request.Key().Hash() != reply.Key().Hash())
 }
 
-// TestEncode guards against ends of a flow that are swapped or cut on the way
-// between processes.
+// TestEncode guards against keys whose endpoints are swapped or truncated by
+// encoding and decoding.
 func TestEncode(t *testing.T) {
 	is := is.New(t)
 	key := flow.Key{
