--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -1,7 +1,7 @@
-// Package roster is the list of live agents of pass-through services. It is
-// soft state: agents announce themselves again and again to every controller,
-// and a controller that starts knows all of them after one interval. Nothing of
-// it is written to a disk.
+// Package roster maintains the list of live agents of pass-through services. It is
+// soft state: agents announce themselves periodically to every controller, and a
+// restarted controller knows all of them after one interval. It is never written to
+// disk.
 //
 // # Usage
 //
@@ -10,9 +10,9 @@
 //	changed = list.Expire(now)
 //	records, position := list.Since(known)
 //
-// A position orders the changes of one list; the epoch tells the lists of two
-// controllers, or of two starts of one, apart. An instance that follows a list
-// passes the position that it has and gets the records that changed since.
+// A position orders the changes of one list; the epoch distinguishes the lists of
+// two controllers, or of two starts of one controller. An instance that follows a
+// list passes its last position and gets the records that changed since.
 package roster
 
 import (
@@ -23,33 +23,33 @@
 )
 
 const (
-	// SilentAfter is four announcements that were lost in a row. No new flows
-	// go to an agent that was not heard for so long.
+	// SilentAfter is the time without announcements after which an agent receives no
+	// new flows. It corresponds to four consecutive lost announcements.
 	SilentAfter = 1600 * time.Millisecond
 
-	// GoneAfter is when a silent agent counts as lost for good: the restart of
-	// an instance takes less.
+	// GoneAfter is the time without announcements after which an agent is considered
+	// lost. The restart of an instance takes less.
 	GoneAfter = 5 * time.Second
 
-	// maxPast bounds the earlier starts of an agent whose late announcements
-	// are told from current ones.
-	maxPast = 8
+	// maxEarlierBoots limits the earlier starts of an agent whose delayed
+	// announcements can be distinguished from current ones.
+	maxEarlierBoots = 8
 
-	// flowsStep is the change of the number of flows that followers are told
-	// of, as a fraction of the number that they know.
-	flowsStep = 0.125
+	// minFlowsChangeFraction is the smallest change in the number of flows that is
+	// published to followers, as a fraction of the new number.
+	minFlowsChangeFraction = 0.125
 )
 
-// State is whether an agent takes new flows.
+// State is the availability of an agent for new flows.
 type State uint8
 
 // The states of an agent.
 const (
-	Starting State = iota + 1 // the backend server was not heard yet
+	Starting State = iota + 1 // the backend server has not reported yet
 	Ready
-	Draining // the backend server is leaving and keeps its flows
-	Ended    // the backend server has ended
-	Silent   // the agent was not heard recently
+	Draining // the backend server is shutting down and keeps its flows
+	Ended    // the backend server has stopped
+	Silent   // the agent has not announced itself recently
 	Gone     // the agent is lost; followers drop the record
 )
 
@@ -63,11 +63,11 @@
 	return names[s]
 }
 
-// Load is what an agent says of its load in answers about single flows.
+// Load is the load that an agent reports in answers about single flows.
 type Load struct {
 	Flows   uint16 // open flows
 	Waiting uint16 // flows that wait for an answer
-	Failing bool   // requests fail, so new flows should go elsewhere
+	Failing bool   // requests fail, so other agents should receive new flows
 }
 
 // Record describes one agent.
@@ -77,23 +77,23 @@
 	Service string        `cbor:"3,keyasint"`
 	Zone    string        `cbor:"4,keyasint"`
 	State   State         `cbor:"5,keyasint"`
-	Slots   uint16        `cbor:"6,keyasint"` // requests that the backend server runs at a time
+	Slots   uint16        `cbor:"6,keyasint"` // maximum concurrent requests of the backend server
 	Cold    bool          `cbor:"7,keyasint,omitempty"`
 	Flows   uint16        `cbor:"8,keyasint,omitempty"`  // open flows
 	Waiting uint16        `cbor:"9,keyasint,omitempty"`  // flows that wait for an answer
 	Changed uint64        `cbor:"10,keyasint,omitempty"` // position of the last change
-	Failing bool          `cbor:"11,keyasint,omitempty"` // requests fail, so new flows should go elsewhere
+	Failing bool          `cbor:"11,keyasint,omitempty"` // requests fail, so other agents should receive new flows
 }
 
-// differs reports whether followers have to be told of a change.
-func (r Record) differs(other Record) bool {
-	load := int(r.Flows) - int(other.Flows)
-	step := max(2, int(flowsStep*float64(r.Flows)))
+// needsUpdate reports whether followers that have the record other need r.
+func (r Record) needsUpdate(other Record) bool {
+	flowsDelta := int(r.Flows) - int(other.Flows)
+	minFlowsDelta := max(2, int(minFlowsChangeFraction*float64(r.Flows)))
 
-	waiting := int(r.Waiting) - int(other.Waiting)
+	waitingDelta := int(r.Waiting) - int(other.Waiting)
 	slots := max(1, int(r.Slots))
 
-	if load >= step || -load >= step || waiting >= slots || -waiting >= slots {
+	if flowsDelta >= minFlowsDelta || -flowsDelta >= minFlowsDelta || waitingDelta >= slots || -waitingDelta >= slots {
 		return true
 	}
 
@@ -102,22 +102,23 @@
 	return r != other
 }
 
-// member is a record with what only the list needs.
+// member is a record with the internal state of the list for its agent.
 type member struct {
 	Record
-	sequence uint64
-	heard    time.Time
-	past     []uint64 // earlier starts of the agent
+	sequence     uint64
+	lastSeen     time.Time
+	earlierBoots []uint64 // Boot values of earlier starts of the agent
 }
 
-// List is the list of one controller. One goroutine at a time uses it.
+// List is the list of one controller. It is not safe for concurrent use.
 type List struct {
 	epoch    uint64
 	position uint64
 	members  map[flow.Endpoint]*member
 }
 
-// New returns an empty list. The epoch is random for each start.
+// New returns an empty list. The epoch must be random for each start of the
+// controller.
 func New(epoch uint64) *List {
 	return &List{epoch: epoch, members: make(map[flow.Endpoint]*member)}
 }
@@ -141,9 +142,10 @@
 	return count
 }
 
-// Announce applies what an agent says of itself and reports whether its state
-// changed, so that followers should be told at once. The sequence rises with
-// each announcement of one start, so that a late one is ignored.
+// Announce applies the announcement of an agent. It reports whether the agent's
+// state, service or failing flag changed, in which case followers should be notified
+// immediately. The sequence increases with each announcement of one start; delayed
+// announcements are ignored.
 func (l *List) Announce(now time.Time, record Record, sequence uint64) bool {
 	known := l.members[record.Address]
 
@@ -153,41 +155,42 @@
 		l.members[record.Address] = known
 	case known.Boot == record.Boot && sequence <= known.sequence:
 		return false
-	case slices.Contains(known.past, record.Boot):
+	case slices.Contains(known.earlierBoots, record.Boot):
 		return false
 	case known.Boot != record.Boot:
-		known.past = append(known.past, known.Boot)
-		if len(known.past) > maxPast {
-			known.past = known.past[1:]
+		known.earlierBoots = append(known.earlierBoots, known.Boot)
+		if len(known.earlierBoots) > maxEarlierBoots {
+			known.earlierBoots = known.earlierBoots[1:]
 		}
 	}
 
-	urgent := record.State != known.State || record.Service != known.Service || record.Failing != known.Failing
-	if record.differs(known.Record) {
+	notifyNow := record.State != known.State || record.Service != known.Service || record.Failing != known.Failing
+	if record.needsUpdate(known.Record) {
 		l.position++
 		record.Changed = l.position
 		known.Record = record
 	}
 
-	known.sequence, known.heard = sequence, now
+	known.sequence, known.lastSeen = sequence, now
 
-	return urgent
+	return notifyNow
 }
 
-// Expire marks agents that were not heard and reports whether there were any.
+// Expire marks agents without recent announcements as silent or gone and reports
+// whether any state changed.
 func (l *List) Expire(now time.Time) bool {
 	changed := false
 
 	for address, m := range l.members {
-		silent := now.Sub(m.heard)
+		sinceSeen := now.Sub(m.lastSeen)
 		next := m.State
 
 		switch {
-		case m.State == Gone && silent > 2*GoneAfter:
+		case m.State == Gone && sinceSeen > 2*GoneAfter:
 			delete(l.members, address)
-		case silent > GoneAfter:
+		case sinceSeen > GoneAfter:
 			next = Gone
-		case silent > SilentAfter:
+		case sinceSeen > SilentAfter:
 			next = Silent
 		}
 
@@ -201,8 +204,8 @@
 	return changed
 }
 
-// Since returns the records that changed after a position, and the position
-// that they lead to. With position 0 it returns all.
+// Since returns the records that changed after a position, and the current
+// position. For position 0 it returns all agents that are not gone.
 func (l *List) Since(position uint64) ([]Record, uint64) {
 	var records []Record
 
--- a/internal/state/roster/roster_test.go
+++ b/internal/state/roster/roster_test.go
@@ -12,9 +12,9 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func record(last byte, state roster.State) roster.Record {
+func record(lastByte byte, state roster.State) roster.Record {
 	return roster.Record{
-		Address: flow.Endpoint{IP: [4]byte{10, 0, 0, last}, Port: 1}, Boot: 7, Service: "desk", State: state, Slots: 2,
+		Address: flow.Endpoint{IP: [4]byte{10, 0, 0, lastByte}, Port: 1}, Boot: 7, Service: "desk", State: state, Slots: 2,
 	}
 }
 
@@ -27,15 +27,15 @@
 	return found
 }
 
-// TestAnnounce guards against announcements that were overtaken on their way
-// and bring back a state that has ended.
+// TestAnnounce guards against reordered or delayed announcements that restore an
+// outdated state.
 func TestAnnounce(t *testing.T) {
 	is := is.New(t)
 	list := roster.New(1)
 
 	is.True(list.Announce(start, record(1, roster.Ready), 5))
 	is.True(list.Announce(start, record(1, roster.Draining), 6))
-	is.True(!list.Announce(start, record(1, roster.Ready), 4)) // late
+	is.True(!list.Announce(start, record(1, roster.Ready), 4)) // delayed
 
 	restarted := record(1, roster.Starting)
 	restarted.Boot = 8
@@ -46,8 +46,8 @@
 	is.Equal(states(records), map[byte]roster.State{1: roster.Starting})
 }
 
-// TestSince guards against followers that miss a change or get every record
-// again with each poll.
+// TestSince guards against followers that miss a change, or get all records with
+// each poll.
 func TestSince(t *testing.T) {
 	is := is.New(t)
 	list := roster.New(1)
@@ -58,7 +58,7 @@
 	is.Equal(len(records), 2)
 
 	list.Announce(start, record(2, roster.Draining), 2)
-	list.Announce(start, record(1, roster.Ready), 2) // nothing new
+	list.Announce(start, record(1, roster.Ready), 2) // no change
 
 	records, position = list.Since(position)
 	is.Equal(states(records), map[byte]roster.State{2: roster.Draining})
@@ -67,7 +67,7 @@
 	is.Equal(len(records), 0)
 }
 
-// TestExpire guards against agents that are lost and keep getting new flows.
+// TestExpire guards against lost agents that keep receiving new flows.
 func TestExpire(t *testing.T) {
 	is := is.New(t)
 	list := roster.New(1)
@@ -80,17 +80,17 @@
 	records, position := list.Since(position)
 	is.Equal(states(records), map[byte]roster.State{1: roster.Silent})
 
-	is.True(list.Announce(start.Add(2*time.Second), record(1, roster.Ready), 2)) // it is back
+	is.True(list.Announce(start.Add(2*time.Second), record(1, roster.Ready), 2)) // the agent announces itself again
 	is.True(list.Expire(start.Add(2*time.Second + roster.GoneAfter + 1)))
 
 	records, _ = list.Since(position)
 	is.Equal(states(records), map[byte]roster.State{1: roster.Gone})
 
 	all, _ := list.Since(0)
-	is.Equal(len(all), 0) // a new follower needs no record of it
+	is.Equal(len(all), 0) // a new follower doesn't need records of gone agents
 }
 
-// TestLoad guards against a flood of changes while the number of flows wavers.
+// TestLoad guards against a change for each small fluctuation of the number of flows.
 func TestLoad(t *testing.T) {
 	is := is.New(t)
 	list := roster.New(1)
