--- a/internal/state/route/route.go
+++ b/internal/state/route/route.go
@@ -1,11 +1,11 @@
-// Package route is the document of pass-through services: which service new
-// flows to an address go to. It holds no decision about single flows.
+// Package route defines the document of pass-through services, which maps addresses
+// to the services that receive new flows. It contains no decisions about single flows.
 //
 // # Usage
 //
 //	document := &route.Document{Version: 7, Routes: routes, Services: services}
 //	if err := document.Check(); err != nil {
-//		// A *route.Error of KindInvalid lists every fault.
+//		// A *route.Error of KindInvalid lists all faults.
 //	}
 //	encoded, err := document.Encode()
 //	table, err := route.New(document)
@@ -31,8 +31,8 @@
 	"jayspindle/internal/state/flow"
 )
 
-// MaxEncodedBytes bounds an encoded document before compression. A route takes
-// about 100 bytes, so 6,700 addresses fit several times.
+// MaxEncodedBytes limits the size of an encoded document before compression. A
+// route takes about 100 bytes, so several times 6,700 routes fit.
 const MaxEncodedBytes = 8 << 20
 
 // Kind classifies an Error.
@@ -57,14 +57,14 @@
 	Weight  uint32 `cbor:"2,keyasint"` // relative to the other targets of the route
 }
 
-// Route sends new flows to an address to services.
+// Route distributes the new flows of an address among services.
 type Route struct {
 	Name    string         `cbor:"1,keyasint"`
 	Address netip.AddrPort `cbor:"2,keyasint"`
 	Targets []Target       `cbor:"3,keyasint"`
 
-	Timeout  time.Duration `cbor:"4,keyasint"` // within which clients want an answer
-	Aim      time.Duration `cbor:"5,keyasint"` // latency that is good service; 0 if not stated
+	Timeout  time.Duration `cbor:"4,keyasint"` // time within which clients expect an answer
+	Aim      time.Duration `cbor:"5,keyasint"` // target latency; 0 if not set
 	Priority int           `cbor:"6,keyasint"` // 0 is the most urgent
 	Repeats  bool          `cbor:"7,keyasint"` // requests are idempotent
 }
@@ -74,10 +74,10 @@
 	Version  uint64        `cbor:"1,keyasint"`
 	Routes   []Route       `cbor:"2,keyasint"`
 	Services []string      `cbor:"3,keyasint"`
-	Idle     time.Duration `cbor:"4,keyasint"` // after which a flow without packets may be forgotten; 0 if not stated
+	Idle     time.Duration `cbor:"4,keyasint"` // time after which an idle flow may be forgotten; 0 if not set
 }
 
-// Check returns an error of KindInvalid that lists every fault.
+// Check returns an error of KindInvalid that lists all faults, or nil.
 func (d *Document) Check() error {
 	services := make(map[string]bool, len(d.Services))
 	for _, service := range d.Services {
@@ -86,14 +86,14 @@
 
 	var faults []error
 
-	places := make(map[netip.AddrPort]string, len(d.Routes))
+	nameByAddress := make(map[netip.AddrPort]string, len(d.Routes))
 
 	for _, route := range d.Routes {
-		if other, ok := places[route.Address]; ok {
+		if other, ok := nameByAddress[route.Address]; ok {
 			faults = append(faults, fmt.Errorf("routes %q and %q have the same address %s", other, route.Name, route.Address))
 		}
 
-		places[route.Address] = route.Name
+		nameByAddress[route.Address] = route.Name
 
 		if err := route.check(services); err != nil {
 			faults = append(faults, fmt.Errorf("route %q: %w", route.Name, err))
@@ -143,7 +143,7 @@
 	return Compress(plain)
 }
 
-// Decode reads the bytes of Encode.
+// Decode decodes a document from the result of Encode.
 func Decode(encoded []byte) (*Document, error) {
 	plain, err := Expand(encoded)
 	if err != nil {
@@ -158,7 +158,7 @@
 	return document, nil
 }
 
-// Compress shrinks the bytes of a document, in whatever format they are.
+// Compress compresses the bytes of a document of any format.
 func Compress(plain []byte) ([]byte, error) {
 	var compressed bytes.Buffer
 
@@ -178,7 +178,8 @@
 	return compressed.Bytes(), nil
 }
 
-// Expand reverses Compress. More than MaxEncodedBytes are refused.
+// Expand decompresses the result of Compress. It refuses more than MaxEncodedBytes
+// of output.
 func Expand(compressed []byte) ([]byte, error) {
 	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), MaxEncodedBytes+1))
 	if err != nil {
@@ -250,28 +251,28 @@
 }
 
 // Pick returns the service of a new flow. Equal hashes get the same service as
-// long as the weights stay.
+// long as the weights don't change.
 func (r *Route) Pick(hash uint64) string {
 	var total uint64
 	for _, target := range r.Targets {
 		total += uint64(target.Weight)
 	}
 
-	// The low bits order the backend servers, so the choice of the service takes
-	// a hash of its own.
-	point := flow.Mix(hash^serviceSalt) % total
+	// The low bits of the hash determine the order of the backend servers, so the
+	// selection of the service uses a separate hash.
+	position := flow.Mix(hash^serviceSalt) % total
 
 	for _, target := range r.Targets {
-		if point < uint64(target.Weight) {
+		if position < uint64(target.Weight) {
 			return target.Service
 		}
 
-		point -= uint64(target.Weight)
+		position -= uint64(target.Weight)
 	}
 
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// serviceSalt separates the choice of the service from that of the backend
-// server.
+// serviceSalt makes the selection of the service independent of that of the
+// backend server.
 const serviceSalt = 0x5eed_5e47_1ce0_0001
--- a/internal/state/route/route_test.go
+++ b/internal/state/route/route_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestCheck guards against documents in force that name unknown services,
-// ambiguous addresses or no time.
+// TestCheck guards against accepted documents with unknown services, ambiguous
+// addresses or missing timeouts.
 func TestCheck(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(d *route.Document)
@@ -62,7 +62,7 @@
 	is.NoErr(document().Check())
 }
 
-// TestEncode guards against documents that reach instances changed.
+// TestEncode guards against documents that encoding and decoding change.
 func TestEncode(t *testing.T) {
 	is := is.New(t)
 	encoded, err := document().Encode()
@@ -76,8 +76,8 @@
 	is.True(err != nil)
 }
 
-// TestPick guards against a split that ignores its weights, or that moves a
-// flow between two looks at the same document.
+// TestPick guards against a distribution that ignores the weights, or that selects
+// different services for one flow with the same document.
 func TestPick(t *testing.T) {
 	is := is.New(t)
 	table, err := route.New(document())
