--- a/internal/state/settings/error.go
+++ b/internal/state/settings/error.go
@@ -8,7 +8,7 @@
 // The kinds of errors of this package.
 const (
 	KindFile    Kind = "file"    // the file cannot be read
-	KindSyntax  Kind = "syntax"  // not YAML, or not of this shape
+	KindSyntax  Kind = "syntax"  // not YAML, or the structure doesn't match
 	KindInvalid Kind = "invalid" // a value is not allowed
 )
 
--- a/internal/state/settings/settings.go
+++ b/internal/state/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the YAML settings of a process, strictly: unknown and
-// duplicate keys are refused, and every fault names file, line, key, the value
-// found and what is allowed.
+// Package settings reads the YAML settings of a process in strict mode: unknown and
+// duplicate keys are refused, and every fault names the file, the line, the key, the
+// value found and the values allowed.
 //
 // # Usage
 //
@@ -30,17 +30,17 @@
 	"github.com/juju/errors"
 )
 
-// maxFileSize bounds a settings file in bytes. The largest example is 2 KiB.
-const maxFileSize = 1 << 20
+// maxFileBytes limits the size of a settings file. The largest example is 2 KiB.
+const maxFileBytes = 1 << 20
 
-// Instance names an instance and places it.
+// Instance identifies an instance and its environment and availability zone.
 type Instance struct {
 	Name        string `yaml:"name" validate:"required,hostname_rfc1123"`
 	Environment string `yaml:"environment" validate:"oneof=trial production"`
 	Zone        string `yaml:"zone" validate:"required,hostname_rfc1123"`
 }
 
-// Identity names the files that prove who an instance is.
+// Identity names the files with the credentials of an instance.
 type Identity struct {
 	Certificate string   `yaml:"certificate" validate:"required"`
 	Key         string   `yaml:"key" validate:"required"`
@@ -54,9 +54,9 @@
 		return nil, newError("load", KindFile, err)
 	}
 
-	if info.Size() > maxFileSize {
+	if info.Size() > maxFileBytes {
 		return nil, newError("load", KindFile,
-			errors.Errorf("%s has %d bytes, at most %d are allowed", file, info.Size(), maxFileSize))
+			errors.Errorf("%s has %d bytes, at most %d are allowed", file, info.Size(), maxFileBytes))
 	}
 
 	data, err := os.ReadFile(file)
@@ -67,7 +67,8 @@
 	return Decode[T](file, data)
 }
 
-// Decode validates the settings in data. The name stands for the file in errors.
+// Decode decodes and validates the settings in data. The name is used as the file
+// name in errors.
 func Decode[T any](name string, data []byte) (*T, error) {
 	decoded := new(T)
 
@@ -82,7 +83,7 @@
 	case err != nil:
 		return nil, newError("validate", KindInvalid, errors.Annotate(err, name))
 	case len(faults) > 0:
-		return nil, newError("validate", KindInvalid, locate(name, data, faults))
+		return nil, newError("validate", KindInvalid, describeFaults(name, data, faults))
 	default:
 		return decoded, nil
 	}
@@ -111,8 +112,8 @@
 	return "1:1: " + err.Error()
 }
 
-// validate returns the faults of the values, or the error of a type that cannot
-// be validated.
+// validate returns the faults of the values, or an error if the type cannot be
+// validated.
 func validate(value any) (validator.ValidationErrors, error) {
 	check := validator.New(validator.WithRequiredStructEnabled())
 	check.RegisterTagNameFunc(func(field reflect.StructField) string {
@@ -131,9 +132,9 @@
 	return nil, errors.Trace(err)
 }
 
-// locate lists all faults, each with the line of its key or of the nearest
+// describeFaults lists all faults, each with the line of its key or of the nearest
 // parent that the file contains.
-func locate(name string, data []byte, faults validator.ValidationErrors) error {
+func describeFaults(name string, data []byte, faults validator.ValidationErrors) error {
 	file, err := parser.ParseBytes(data, 0)
 	if err != nil {
 		return errors.Trace(err)
@@ -144,13 +145,13 @@
 	for _, fault := range faults {
 		_, key, _ := strings.Cut(fault.Namespace(), ".")
 		lines = append(lines, fmt.Sprintf("%s:%d: %s: found %q, allowed: %s",
-			name, line(file, key), key, fmt.Sprint(fault.Value()), allowed(fault)))
+			name, lineOfKey(file, key), key, fmt.Sprint(fault.Value()), describeAllowed(fault)))
 	}
 
 	return errors.New(strings.Join(lines, "\n"))
 }
 
-func allowed(fault validator.FieldError) string {
+func describeAllowed(fault validator.FieldError) string {
 	switch fault.Tag() {
 	case "required":
 		return "any value, but the key must be set"
@@ -167,7 +168,7 @@
 	}
 }
 
-func line(file *ast.File, key string) int {
+func lineOfKey(file *ast.File, key string) int {
 	for key != "" {
 		path, err := yaml.PathString("$." + key)
 		if err == nil {
@@ -176,12 +177,12 @@
 			}
 		}
 
-		cut := strings.LastIndexAny(key, ".[")
-		if cut < 0 {
+		parentEnd := strings.LastIndexAny(key, ".[")
+		if parentEnd < 0 {
 			break
 		}
 
-		key = key[:cut]
+		key = key[:parentEnd]
 	}
 
 	return 1
--- a/internal/state/settings/settings_test.go
+++ b/internal/state/settings/settings_test.go
@@ -24,7 +24,7 @@
 timeout: 3s
 `
 
-// Guards against settings that are read with other values than the file has.
+// Guards against decoded values that differ from those in the file.
 func TestDecode(t *testing.T) {
 	is := is.New(t)
 
@@ -35,10 +35,10 @@
 	is.Equal(decoded.Timeout, 3*time.Second)
 }
 
-// Guards against a process that starts with a typing error in its settings,
-// and against errors that do not say where the fault is.
+// Guards against a process that starts with a typo in its settings, and against
+// errors that don't state the position of the fault.
 func TestDecodeFaults(t *testing.T) {
-	for name, fault := range map[string]struct{ text, message string }{
+	for name, test := range map[string]struct{ text, message string }{
 		"unknown key": {
 			valid + "listn: x\n",
 			"settings: decode: syntax: example.yaml:7:1: unknown field \"listn\"",
@@ -60,8 +60,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := settings.Decode[example]("example.yaml", []byte(fault.text))
-			is.New(t).Equal(err.Error(), fault.message)
+			_, err := settings.Decode[example]("example.yaml", []byte(test.text))
+			is.New(t).Equal(err.Error(), test.message)
 		})
 	}
 }
