--- a/internal/state/view/index.go
+++ b/internal/state/view/index.go
@@ -12,8 +12,8 @@
 	pages [1 << (16 - pageBits)]*agentPage
 }
 
-func (x *agentIndex) agents(service ServiceID) []Agent {
-	page := x.pages[service>>pageBits]
+func (i *agentIndex) agents(service ServiceID) []Agent {
+	page := i.pages[service>>pageBits]
 	if page == nil {
 		return nil
 	}
@@ -23,18 +23,18 @@
 
 // withAgents returns an index to which the agents are added. They must be sorted by
 // incarnation.
-func (x *agentIndex) withAgents(agents []Agent) *agentIndex {
+func (i *agentIndex) withAgents(agents []Agent) *agentIndex {
 	added := make(map[ServiceID][]Agent)
 	for _, agent := range agents {
 		added[agent.Service] = append(added[agent.Service], agent)
 	}
 
-	return x.apply(added, nil)
+	return i.apply(added, nil)
 }
 
 // apply returns an index with the given agents of each service upserted or removed.
-func (x *agentIndex) apply(upserted map[ServiceID][]Agent, removed map[ServiceID][]Incarnation) *agentIndex {
-	next := *x
+func (i *agentIndex) apply(upserted map[ServiceID][]Agent, removed map[ServiceID][]Incarnation) *agentIndex {
+	next := *i
 	copied := make(map[ServiceID]bool)
 
 	update := func(service ServiceID) {
