--- a/internal/state/checkpoint/checkpoint.go
+++ b/internal/state/checkpoint/checkpoint.go
@@ -56,7 +56,7 @@
 // Flow is an open flow.
 type Flow struct {
 	Key          flow.Key
-	Acknowledged uint32 // by the client; may be out of date
+	Acknowledged uint32 // sequence number that the client acknowledged; may be out of date
 }
 
 // Batch holds the changes of an agent's flows from one position to another. If From
--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// flows returns the numbered flows, each with the bytes that its client has
-// acknowledged.
+// flows returns the numbered flows. The number of a flow is also the sequence number
+// that its client has acknowledged.
 func flows(numbers ...int) map[flow.Key]uint32 {
 	found := make(map[flow.Key]uint32, len(numbers))
 	for _, number := range numbers {
@@ -94,7 +94,7 @@
 }
 
 // TestProgress guards against resets that a client ignores because it has
-// acknowledged many more bytes since the checkpoint, and against one message for
+// acknowledged many more bytes since the checkpoint, and against sending a batch for
 // each acknowledgement.
 func TestProgress(t *testing.T) {
 	is := is.New(t)
--- a/internal/state/checkpoint/tracker.go
+++ b/internal/state/checkpoint/tracker.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// minAckProgressBytes is the number of newly acknowledged bytes after which a
-	// flow is sent again. The sequence number of a reset has to be close to the last
+	// minAckProgressBytes is the number of newly acknowledged bytes after which an
+	// open flow is sent again. The sequence number of a reset has to be close to the last
 	// byte that the client acknowledged; this is half of the smallest receive window
 	// in use.
 	minAckProgressBytes = 32 << 10
@@ -45,7 +45,8 @@
 }
 
 // Observe compares the flows of a backend server with those observed before and
-// records the changes. A flow maps to the bytes that its client has acknowledged.
+// records the changes. The values are the sequence numbers that the clients have
+// acknowledged.
 func (t *Tracker) Observe(backendStart int64, flows map[flow.Key]uint32) {
 	if backendStart != t.backendStart {
 		t.backendStart = backendStart
