--- a/internal/state/document/bind.go
+++ b/internal/state/document/bind.go
@@ -162,9 +162,9 @@
 
 // bindSequence refuses lists beyond the limit before it allocates memory for them:
 // 10,000 aliases of one list would take gigabytes.
-func (b *binder) bindSequence(node ast.Node, target reflect.Value, path *valuePath, limit int) bool {
+func (b *binder) bindSequence(node ast.Node, target reflect.Value, path *valuePath, maxItems int) bool {
 	sequence, ok := node.(*ast.SequenceNode)
-	if !ok || len(sequence.Values) > limit {
+	if !ok || len(sequence.Values) > maxItems {
 		return false
 	}
 
