--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -77,8 +77,8 @@
 	Service string        `cbor:"3,keyasint"`
 	Zone    string        `cbor:"4,keyasint"`
 	State   State         `cbor:"5,keyasint"`
-	Slots   uint16        `cbor:"6,keyasint"` // maximum concurrent requests of the backend server
-	Cold    bool          `cbor:"7,keyasint,omitempty"`
+	Slots   uint16        `cbor:"6,keyasint"`            // maximum concurrent requests of the backend server
+	Cold    bool          `cbor:"7,keyasint,omitempty"`  // the backend server has just started
 	Flows   uint16        `cbor:"8,keyasint,omitempty"`  // open flows
 	Waiting uint16        `cbor:"9,keyasint,omitempty"`  // flows that wait for an answer
 	Changed uint64        `cbor:"10,keyasint,omitempty"` // position of the last change
