--- a/internal/program/agent/agent.go
+++ b/internal/program/agent/agent.go
@@ -1,14 +1,14 @@
-// Package agent is the process beside each backend server. It ends the QUIC
-// sessions of callers, admits their requests, and hands them to its backend
-// server or to a sibling.
+// Package agent implements the process that runs beside each backend server. It
+// terminates the QUIC sessions of callers, admits their requests, and forwards
+// them to its backend server or to a sibling agent.
 //
 // # Usage
 //
 //	agent, err := agent.New(config, telemetry)
 //	err = agent.Run(ctx)
 //
-// When the context ends, the agent drains: no new work, feeds move to other
-// agents, requests in progress finish.
+// When the context ends, the agent drains: it takes no new work, feeds move to
+// other agents, and requests in progress finish.
 package agent
 
 import (
@@ -41,26 +41,28 @@
 )
 
 const (
-	keepAlive   = 5 * time.Second
-	idleTimeout = 30 * time.Second
-	// drainSettle is the time that balancers need to apply a draining agent.
-	drainSettle = time.Second
-	// leaveTimeout bounds the attempts to tell the controllers.
+	quicKeepAliveInterval = 5 * time.Second
+	idleTimeout           = 30 * time.Second
+	// drainPropagationDelay is the time that balancers need to apply the view in
+	// which the agent is draining.
+	drainPropagationDelay = time.Second
+	// leaveTimeout bounds the attempts to notify the controllers.
 	leaveTimeout = 3 * time.Second
-	// peerGrace bounds the calls of siblings that run when the agent stops.
-	peerGrace = 5 * time.Second
+	// peerShutdownTimeout bounds the wait for calls of siblings that are in
+	// progress when the agent stops.
+	peerShutdownTimeout = 5 * time.Second
 )
 
-// Agent is the process beside a backend server.
+// Agent serves the requests of callers on behalf of one backend server.
 type Agent struct {
 	config     Settings
-	observed   *telemetry.Telemetry
+	telemetry  *telemetry.Telemetry
 	logger     *slog.Logger
 	member     *member.Member
 	serviceKey *identity.PrivateKey
 	gate       *gate
 	backend    *backendServer
-	local      *local
+	local      *localRunner
 	siblings   *siblings
 	placer     *placer
 	feeds      *feeds
@@ -71,11 +73,11 @@
 	classes    atomic.Pointer[map[string]view.Class]
 	conn       atomic.Pointer[packetConn]
 	ids        atomic.Pointer[connid.Generator]
-	service    atomic.Uint32
-	applying   sync.Mutex // held while fabric keys are put into force
+	serviceID  atomic.Uint32
+	applyMutex sync.Mutex // held while fabric keys are installed
 }
 
-// New returns an agent. It announces itself once Run is called.
+// New returns an agent. Run announces it to the controllers.
 func New(config Settings, observed *telemetry.Telemetry) (*Agent, error) {
 	store, err := identity.Open(config.Identity, observed.Logger())
 	if err != nil {
@@ -91,7 +93,7 @@
 
 	a := &Agent{
 		config:     config,
-		observed:   observed,
+		telemetry:  observed,
 		logger:     observed.Logger(),
 		serviceKey: key,
 		gate:       newGate(admission.Policy{Slots: 1}),
@@ -100,31 +102,31 @@
 	}
 	a.matcher.Store(document.NewMatcher(nil))
 	a.classes.Store(&map[string]view.Class{})
-	a.local = &local{gate: a.gate, backend: a.backend}
+	a.local = &localRunner{gate: a.gate, backend: a.backend}
 
 	a.member = member.New(member.Options{
 		Environment: config.Instance.Environment,
 		Upstreams:   config.Upstreams,
 		Identity:    store,
 		Announce:    a.announcement,
-		Load:        func() uint8 { return uint8(a.backend.load.Load()) },
+		Load:        func() uint8 { return uint8(a.backend.loadPercent.Load()) },
 		OnView:      a.apply,
 		Logger:      a.logger,
 		Random:      rand.New(rand.NewPCG(random.Uint64(), 1)),
 	})
 
-	sibling := func(agent view.Agent) runner { return &remote{client: a.siblings.client(agent)} }
+	sibling := func(agent view.Agent) runner { return &remoteRunner{client: a.siblings.client(agent)} }
 	a.placer = newPlacer(a.member.Incarnation, a.local, sibling, random, observed.Tracer())
 	a.feeds = newFeeds(a.placer, a.logger)
 	a.claims = newClaims(claimOptions{
-		service:   config.Service,
-		zone:      config.Instance.Zone,
-		capacity:  config.ClaimsAtMost,
-		self:      a.member.Incarnation,
-		serviceID: func() view.ServiceID { return view.ServiceID(a.service.Load()) },
-		confirmed: a.member.Confirmed,
-		sibling:   func(agent view.Agent) caller { return a.siblings.client(agent) },
-		logger:    a.logger,
+		service:       config.Service,
+		zone:          config.Instance.Zone,
+		capacity:      config.ClaimsAtMost,
+		self:          a.member.Incarnation,
+		serviceID:     func() view.ServiceID { return view.ServiceID(a.serviceID.Load()) },
+		viewConfirmed: a.member.Confirmed,
+		siblingClient: func(agent view.Agent) rpcClient { return a.siblings.client(agent) },
+		logger:        a.logger,
 	})
 
 	if err := a.listenPeers(store); err != nil {
@@ -148,8 +150,8 @@
 	}
 
 	requests := &peerServer{
-		service: a.config.Service, local: a.local, classes: a.class, drained: a.feeds.drained,
-		tracer: a.observed.Tracer(),
+		service: a.config.Service, local: a.local, classByName: a.classByName, drained: a.feeds.drained,
+		tracer: a.telemetry.Tracer(),
 	}
 	server.HandleStream(peer.MethodRun, requests.run)
 	a.claims.register(server)
@@ -173,13 +175,13 @@
 	return announce
 }
 
-func (a *Agent) class(name string) (view.Class, bool) {
+func (a *Agent) classByName(name string) (view.Class, bool) {
 	class, ok := (*a.classes.Load())[name]
 
 	return class, ok
 }
 
-// apply puts a view into force. The member calls it for one view at a time.
+// apply applies a view. The member calls it for one view at a time.
 func (a *Agent) apply(current *view.View) {
 	service, ok := current.ServiceByName(a.config.Service)
 	if !ok {
@@ -200,7 +202,7 @@
 	agents := current.AgentsOf(service.ID)
 	a.placer.update(agents)
 	a.claims.update(current.Position(), agents)
-	a.service.Store(uint32(service.ID))
+	a.serviceID.Store(uint32(service.ID))
 	a.siblings.retain(agents)
 
 	if conn := a.conn.Load(); conn != nil {
@@ -208,21 +210,22 @@
 	}
 }
 
-// applyKeys may be called with a view that is older than the one in force. The
-// connection refuses it then, and connection IDs keep the newer keys too.
+// applyKeys installs the fabric keys of a view. The view may be older than the
+// one already applied: the connection then rejects it, and the connection IDs
+// keep the newer keys too.
 func (a *Agent) applyKeys(conn *packetConn, current *view.View) {
-	a.applying.Lock()
-	defer a.applying.Unlock()
+	a.applyMutex.Lock()
+	defer a.applyMutex.Unlock()
 
 	if err := conn.update(current); err != nil {
-		a.logger.Warn("fabric keys not applied", "error", err)
+		a.logger.Warn("could not apply the fabric keys", "error", err)
 
 		return
 	}
 
 	keys, err := connid.New(current.Keys())
 	if err != nil {
-		a.logger.Error("fabric keys not applied", "error", err)
+		a.logger.Error("could not apply the fabric keys", "error", err)
 
 		return
 	}
@@ -232,32 +235,32 @@
 
 // Run serves until the context ends, then drains.
 func (a *Agent) Run(ctx context.Context) error {
-	// The parts outlive the context: they are needed to drain.
-	living, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// The components outlive the context because the drain needs them.
+	componentsCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	ctx, fail := context.WithCancelCause(ctx)
 
-	parts := group.New(fail)
+	components := group.New(fail)
 
-	defer parts.Wait()
+	defer components.Wait()
 	defer stop()
 
-	for _, part := range []func(context.Context){
+	for _, component := range []func(context.Context){
 		a.gate.run, a.member.Run, a.claims.run,
-		func(ctx context.Context) { a.backend.watchHealth(ctx, a.healthChanged) },
+		func(ctx context.Context) { a.backend.watchHealth(ctx, a.logHealthChange) },
 	} {
-		parts.Go(func() { part(living) })
+		components.Go(func() { component(componentsCtx) })
 	}
 
-	parts.Go(func() {
+	components.Go(func() {
 		select {
 		case <-a.member.Replaced():
 			fail(errReplaced)
-		case <-living.Done():
+		case <-componentsCtx.Done():
 		}
 	})
-	parts.Go(func() {
-		if err := a.peers.Serve(living, peerGrace); err != nil {
-			a.logger.Error("peer links ended", "error", err)
+	components.Go(func() {
+		if err := a.peers.Serve(componentsCtx, peerShutdownTimeout); err != nil {
+			a.logger.Error("could not serve peer links", "error", err)
 		}
 	})
 
@@ -271,8 +274,8 @@
 	return a.serve(ctx)
 }
 
-// errReplaced ends an agent that got another incarnation. No balancer sends to
-// the former one any more.
+// errReplaced stops an agent that has been assigned a new incarnation: balancers
+// no longer send to the old one.
 var errReplaced = errors.New("the controllers have forgotten the agent, it must start anew")
 
 // serve accepts flows until the context ends, then drains.
@@ -285,15 +288,15 @@
 	var flows conc.WaitGroup
 
 	flows.Go(func() { a.accept(listener) })
-	a.observed.SetReady(true)
+	a.telemetry.SetReady(true)
 	a.logger.Info("serving", "service", a.config.Service, "incarnation", a.member.Incarnation(),
 		"data", a.config.Data.String())
 
 	<-ctx.Done()
 
 	if cause := context.Cause(ctx); errors.Is(cause, group.ErrPanicked) || errors.Is(cause, errReplaced) {
-		// Nothing can be finished without that part or from the former
-		// incarnation. The flows are cut.
+		// Requests can finish neither without the failed component nor under
+		// the old incarnation, so the flows are closed at once.
 		_ = listener.Close()
 		_ = transport.Close()
 		flows.Wait()
@@ -307,7 +310,7 @@
 	return errors.Trace(transport.Close())
 }
 
-// listen opens the transport on which sessions end. Stateless resets and retry
+// listen opens the transport that terminates sessions. Stateless resets and retry
 // tokens use keys that all agents of the environment share.
 func (a *Agent) listen(current *view.View) (*quic.Listener, *quic.Transport, error) {
 	service, ok := current.ServiceByName(a.config.Service)
@@ -331,7 +334,7 @@
 	a.ids.Store(connid.NewGenerator(keys, service.ID, a.member.Incarnation()))
 	a.applyKeys(conn, current)
 	a.conn.Store(conn)
-	// A view may have come between: apply the newest one again.
+	// A newer view may have arrived before the connection was stored.
 	a.applyKeys(conn, a.member.View())
 
 	certificate, err := tls.LoadX509KeyPair(a.config.CallerTLS.Certificate, a.config.CallerTLS.Key)
@@ -339,9 +342,9 @@
 		return nil, nil, newError("load caller certificate", KindSetup, err)
 	}
 
-	newest := current.Keys()[0]
-	reset := quic.StatelessResetKey(keyring.Derive(newest, keyring.StatelessReset, len(quic.StatelessResetKey{})))
-	token := quic.TokenGeneratorKey(keyring.Derive(newest, keyring.RetryToken, len(quic.TokenGeneratorKey{})))
+	newestKey := current.Keys()[0]
+	reset := quic.StatelessResetKey(keyring.Derive(newestKey, keyring.StatelessReset, len(quic.StatelessResetKey{})))
+	token := quic.TokenGeneratorKey(keyring.Derive(newestKey, keyring.RetryToken, len(quic.TokenGeneratorKey{})))
 	transport := &quic.Transport{
 		Conn:                  quicConn{PacketConn: conn, buffers: conn},
 		ConnectionIDGenerator: a.ids.Load(),
@@ -356,10 +359,10 @@
 	})
 
 	listener, err := transport.Listen(config, &quic.Config{
-		KeepAlivePeriod:         keepAlive,
+		KeepAlivePeriod:         quicKeepAliveInterval,
 		MaxIdleTimeout:          idleTimeout,
 		DisablePathMTUDiscovery: true,
-		Tracer:                  noteFirst,
+		Tracer:                  recordFirstConnectionID,
 	})
 	if err != nil {
 		return nil, nil, newError("listen", KindSetup, err)
@@ -370,7 +373,7 @@
 		placer:  a.placer,
 		claims:  a.claims,
 		feeds:   a.feeds,
-		tracer:  a.observed.Tracer(),
+		tracer:  a.telemetry.Tracer(),
 		logger:  a.logger,
 	}}
 
@@ -388,14 +391,14 @@
 		}
 
 		flows.Go(func() {
-			traceSession(connection.Context(), a.observed.Tracer(), connection.RemoteAddr().String())
+			traceSession(connection.Context(), a.telemetry.Tracer(), connection.RemoteAddr().String())
 
 			if err := a.server.ServeQUICConn(connection); err != nil {
 				a.logger.Debug("flow ended", "caller", connection.RemoteAddr().String(), "cause", err)
 			}
 
-			// A flow that is accepted after the shutdown has begun is not served:
-			// its caller must not wait for the idle timeout.
+			// A flow accepted after the shutdown has begun is not served. Closing
+			// it spares its caller the wait for the idle timeout.
 			_ = connection.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "")
 		})
 	}
@@ -403,7 +406,7 @@
 	flows.Wait()
 }
 
-// healthChanged logs that the backend server became healthy or unhealthy.
-func (a *Agent) healthChanged(healthy bool) {
+// logHealthChange logs that the backend server became healthy or unhealthy.
+func (a *Agent) logHealthChange(healthy bool) {
 	a.logger.Info("health of the backend server changed", "healthy", healthy)
 }
--- a/internal/program/agent/backendserver.go
+++ b/internal/program/agent/backendserver.go
@@ -18,96 +18,103 @@
 )
 
 const (
-	dialTimeout    = 500 * time.Millisecond
-	healthInterval = time.Second
-	healthTimeout  = 800 * time.Millisecond
-	maxHealthSize  = 4 << 10
-	// unhealthyAfter tolerates a lost health check: reports lag and mislead.
-	unhealthyAfter = 3
-
-	// silenceLimit is the time within which a connection to the backend server
-	// counts as silent, with or without data on the way. The system checks it
-	// with keep-alives, so a feed without events is not mistaken for a silent one.
-	silenceLimit      = 3 * time.Second
-	keepAliveIdle     = time.Second
-	keepAliveInterval = time.Second
-	keepAliveProbes   = int(silenceLimit/keepAliveInterval) - 1
+	dialTimeout          = 500 * time.Millisecond
+	healthInterval       = time.Second
+	healthTimeout        = 800 * time.Millisecond
+	maxHealthReportBytes = 4 << 10
+	// unhealthyThreshold tolerates single lost health checks, because reports can
+	// be late or wrong.
+	unhealthyThreshold = 3
+
+	// deadConnectionTimeout is the time after which a connection to the backend
+	// server without any acknowledgement counts as dead, with or without data in
+	// flight. The kernel checks it with TCP keep-alives, so that a feed without
+	// events is not mistaken for a dead connection.
+	deadConnectionTimeout = 3 * time.Second
+	keepAliveIdle         = time.Second
+	keepAliveInterval     = time.Second
+	keepAliveProbes       = int(deadConnectionTimeout/keepAliveInterval) - 1
 )
 
-// errShed means that the backend server refused the request before the start.
+// errShed means that the backend server rejected the request without running it.
 var errShed = errors.New("the backend server sheds load")
 
-// backendServer is the HTTP side of the agent.
+// backendServer is the HTTP client for the agent's backend server.
 type backendServer struct {
-	address string
-	health  string // path, empty for none
-	// shared keeps connections. Its transport repeats an idempotent request on
-	// a new connection if a kept one turns out to be closed.
-	shared http.RoundTripper
-	// single opens a connection for each request, because a request on a kept
-	// connection that breaks may or may not have run. Health checks use it too:
-	// kept connections that are silent say nothing about the backend server.
-	single  http.RoundTripper
-	failed  atomic.Int32
-	load    atomic.Uint32 // percent, as reported
-	healthy atomic.Bool
+	address    string
+	healthPath string // path, empty for none
+	// pooledTransport reuses connections. It retries an idempotent request on a new
+	// connection if a reused one turns out to be closed.
+	pooledTransport http.RoundTripper
+	// singleUseTransport opens a connection for each request, because a request
+	// on a reused connection that breaks may or may not have run. Health checks
+	// use it too: an unresponsive reused connection says nothing about the
+	// backend server.
+	singleUseTransport http.RoundTripper
+	failedChecks       atomic.Int32
+	loadPercent        atomic.Uint32 // percent, as reported
+	healthy            atomic.Bool
 }
 
-func newBackendServer(address netip.AddrPort, health string, silence time.Duration) *backendServer {
-	dialer := &net.Dialer{Timeout: dialTimeout, Control: limitSilence, KeepAliveConfig: net.KeepAliveConfig{
+func newBackendServer(address netip.AddrPort, healthPath string, responseHeaderTimeout time.Duration) *backendServer {
+	dialer := &net.Dialer{Timeout: dialTimeout, Control: setUserTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
 	}}
 
-	shared := &http.Transport{
+	pooled := &http.Transport{
 		DialContext: dialer.DialContext,
 		// The caller gets the bytes that the backend server has sent.
 		DisableCompression:    true,
 		MaxIdleConnsPerHost:   16,
 		IdleConnTimeout:       30 * time.Second,
-		ResponseHeaderTimeout: silence,
+		ResponseHeaderTimeout: responseHeaderTimeout,
 	}
 
-	single := shared.Clone()
-	single.DisableKeepAlives = true
+	singleUse := pooled.Clone()
+	singleUse.DisableKeepAlives = true
 
-	server := &backendServer{address: address.String(), health: health, shared: shared, single: single}
-	server.healthy.Store(health == "")
+	server := &backendServer{
+		address: address.String(), healthPath: healthPath, pooledTransport: pooled, singleUseTransport: singleUse,
+	}
+	server.healthy.Store(healthPath == "")
 
 	return server
 }
 
-// limitSilence bounds the wait for the acknowledgement of sent data. Without
-// it, keep-alives pause while data is on the way, and the system repeats the
-// data for a quarter of an hour.
-func limitSilence(_, _ string, raw syscall.RawConn) error {
-	var cause error
+// setUserTimeout sets TCP_USER_TIMEOUT, which bounds the wait for the
+// acknowledgement of sent data. Without it, keep-alives pause while data is in
+// flight, and the kernel retransmits the data for a quarter of an hour.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var sockoptErr error
 
 	err := raw.Control(func(fd uintptr) {
-		cause = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceLimit.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(
+			int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadConnectionTimeout.Milliseconds()),
+		)
 	})
 	if err != nil {
 		return err
 	}
 
-	return os.NewSyscallError("setsockopt", cause)
+	return os.NewSyscallError("setsockopt", sockoptErr)
 }
 
-// send hands a call over. ran is false only if it is certain that the backend
-// server has not run it.
-func (b *backendServer) send(ctx context.Context, c *call) (response *http.Response, ran bool, err error) {
+// send sends a call to the backend server. mayHaveRun is false only if it is
+// certain that the backend server has not run it.
+func (b *backendServer) send(ctx context.Context, c *call) (response *http.Response, mayHaveRun bool, err error) {
 	request, err := c.request(b.address)
 	if err != nil {
 		return nil, false, err
 	}
 
-	transport := b.shared
+	transport := b.pooledTransport
 	if c.key != "" {
-		transport = b.single
+		transport = b.singleUseTransport
 	}
 
-	// The request can only have run if it got a connection. The last error does
-	// not tell: the transport repeats an idempotent request whose kept
-	// connection broke, and the second connection may be refused.
+	// The request can only have run if it got a connection. The last error alone
+	// does not show that: the transport retries an idempotent request whose
+	// reused connection broke, and the second connection may be refused.
 	var connections atomic.Int32
 
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -129,8 +136,8 @@
 }
 
 // watchHealth polls the backend server until the context ends.
-func (b *backendServer) watchHealth(ctx context.Context, changed func(healthy bool)) {
-	if b.health == "" {
+func (b *backendServer) watchHealth(ctx context.Context, onChange func(healthy bool)) {
+	if b.healthPath == "" {
 		return
 	}
 
@@ -142,7 +149,7 @@
 		b.check(ctx)
 
 		if after := b.healthy.Load(); after != before {
-			changed(after)
+			onChange(after)
 		}
 
 		select {
@@ -158,26 +165,26 @@
 	defer cancel()
 
 	if err := b.probe(ctx); err != nil {
-		if b.failed.Add(1) >= unhealthyAfter {
+		if b.failedChecks.Add(1) >= unhealthyThreshold {
 			b.healthy.Store(false)
 		}
 
 		return
 	}
 
-	b.failed.Store(0)
+	b.failedChecks.Store(0)
 	b.healthy.Store(true)
 }
 
-// probe asks for the health report. Its load figure is only a hint, so a
-// report that is nonsense does not make the backend server unhealthy.
+// probe fetches the health report. Its load figure is only a hint, so a report
+// that cannot be parsed does not make the backend server unhealthy.
 func (b *backendServer) probe(ctx context.Context) error {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.address+b.health, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+b.address+b.healthPath, nil)
 	if err != nil {
 		return errors.Trace(err)
 	}
 
-	response, err := b.single.RoundTrip(request)
+	response, err := b.singleUseTransport.RoundTrip(request)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -189,9 +196,9 @@
 
 	var report struct{ Slots, Busy int }
 
-	decoder := json.NewDecoder(io.LimitReader(response.Body, maxHealthSize))
+	decoder := json.NewDecoder(io.LimitReader(response.Body, maxHealthReportBytes))
 	if decoder.Decode(&report) == nil && report.Slots > 0 {
-		b.load.Store(uint32(min(max(report.Busy*100/report.Slots, 0), 100)))
+		b.loadPercent.Store(uint32(min(max(report.Busy*100/report.Slots, 0), 100)))
 	}
 
 	return nil
--- a/internal/program/agent/call.go
+++ b/internal/program/agent/call.go
@@ -14,14 +14,15 @@
 	"jayspindle/internal/state/view"
 )
 
-// maxBody bounds the body of a request in bytes. It is held in memory, so that
-// a request that was proven not to have run can be placed elsewhere.
-const maxBody = 1 << 20
+// maxBodyBytes bounds the body of a request in bytes. It is buffered in
+// memory, so that a request that is proven not to have run can be retried on
+// another backend server.
+const maxBodyBytes = 1 << 20
 
-// maxKey bounds an idempotency key in bytes.
-const maxKey = claim.MaxToken
+// maxKeyBytes bounds an idempotency key in bytes.
+const maxKeyBytes = claim.MaxToken
 
-// The headers by which callers and agents talk about a request.
+// Headers that callers and agents use in requests and responses.
 const (
 	headerKey       = "Idempotency-Key"
 	headerTimeout   = "Jayspindle-Timeout"
@@ -51,25 +52,25 @@
 	body     []byte
 	deadline time.Time // zero for a feed that has started
 	key      string    // idempotency key, empty for idempotent classes
-	startBy  time.Time // latest hand-over of a claimed call, zero for others
+	startBy  time.Time // latest time to hand over a claimed call, zero for others
 }
 
 // newCall reads a request. The deadline is that of the class, or the caller's
 // timeout if that is shorter.
 func newCall(request *http.Request, class view.Class, now time.Time) (*call, error) {
-	body, err := io.ReadAll(io.LimitReader(request.Body, maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxBodyBytes+1))
 	if err != nil {
 		return nil, newError("read request", KindCaller, err)
 	}
 
-	if len(body) > maxBody {
-		return nil, newError("read request", KindCaller, errors.Errorf("the body exceeds %d bytes", maxBody))
+	if len(body) > maxBodyBytes {
+		return nil, newError("read request", KindCaller, errors.Errorf("the body exceeds %d bytes", maxBodyBytes))
 	}
 
 	deadline := now.Add(class.Deadline)
 	if !class.Idempotent {
 		// An execution must end long before its claim expires.
-		deadline = now.Add(min(class.Deadline, retention/2))
+		deadline = now.Add(min(class.Deadline, claimRetention/2))
 	}
 
 	if text := request.Header.Get(headerTimeout); text != "" {
@@ -95,16 +96,16 @@
 
 	if !class.Idempotent {
 		c.key = request.Header.Get(headerKey)
-		if c.key == "" || len(c.key) > maxKey {
+		if c.key == "" || len(c.key) > maxKeyBytes {
 			return nil, newError("read request", KindCaller,
-				errors.Errorf("class %s needs an %s of 1 to %d bytes", class.Name, headerKey, maxKey))
+				errors.Errorf("class %s needs an %s of 1 to %d bytes", class.Name, headerKey, maxKeyBytes))
 		}
 	}
 
 	return c, nil
 }
 
-// endToEnd returns the headers without those of a single connection.
+// endToEnd returns the headers without the hop-by-hop ones.
 func endToEnd(header http.Header) http.Header {
 	kept := header.Clone()
 
@@ -149,8 +150,8 @@
 	return request, nil
 }
 
-// startLimit is the latest time at which the call may be handed over.
-func (c *call) startLimit() time.Time {
+// startDeadline is the latest time at which the call may be handed over.
+func (c *call) startDeadline() time.Time {
 	if !c.startBy.IsZero() && c.startBy.Before(c.deadline) {
 		return c.startBy
 	}
--- a/internal/program/agent/claims.go
+++ b/internal/program/agent/claims.go
@@ -13,31 +13,34 @@
 )
 
 const (
-	// retention is how long a claim and its stored answer are kept.
-	retention = 10 * time.Minute
-	// maxUnconfirmed is how long an agent claims on a view that no leader has
-	// confirmed, so that non-idempotent requests outlive an outage of the
-	// controllers. The history of memberships covers that much more, which
-	// makes it more likely that two holders of a key were lost in between.
+	// claimRetention is how long a claim and its stored answer are kept.
+	claimRetention = 10 * time.Minute
+	// maxUnconfirmed is how long an agent keeps claiming on a view that no leader
+	// has confirmed, so that non-idempotent requests keep working during an
+	// outage of the controllers. The membership history has to cover that much
+	// more time, which makes it more likely that two holders of a key were lost
+	// within it.
 	maxUnconfirmed = 10 * time.Minute
 	// defaultCapacity bounds the claims of one agent: 100 a second for the
 	// retention, at most 250 MB if every answer has the largest size.
-	defaultCapacity = claim.MaxCapacity
-	claimCall       = 500 * time.Millisecond
-	// maxCalls bounds the calls in progress to one holder. Claimants repeat what
-	// is not answered, so that a silent holder would collect thousands.
-	maxCalls       = 256
-	expireInterval = time.Second
-	// foundingTime is how long the first agents of a service wait for enough
-	// others to hold their claims. Agents that are deployed together announce
-	// themselves within it.
-	foundingTime = 2 * time.Second
-	// pastInterval is short, because non-idempotent requests wait meanwhile.
-	pastInterval = 200 * time.Millisecond
+	defaultCapacity  = claim.MaxCapacity
+	claimCallTimeout = 500 * time.Millisecond
+	// maxCallsPerHolder bounds the calls in progress to one holder. Claimants retry
+	// unanswered calls, so an unresponsive holder would otherwise accumulate
+	// thousands.
+	maxCallsPerHolder = 256
+	expireInterval    = time.Second
+	// bootstrapTimeout is how long the first agents of a service wait until
+	// there are enough agents to hold their claims. Agents that are deployed
+	// together announce themselves within this time.
+	bootstrapTimeout = 2 * time.Second
+	// housekeepingInterval is short because non-idempotent requests wait until
+	// the membership history is complete.
+	housekeepingInterval = 200 * time.Millisecond
 )
 
-// caller calls a method of another agent.
-type caller interface {
+// rpcClient calls methods of another agent.
+type rpcClient interface {
 	Call(ctx context.Context, method string, request, reply any) error
 }
 
@@ -45,15 +48,15 @@
 type claimOptions struct {
 	service   string // name
 	zone      string
-	capacity  int           // claims held at most, 0 means defaultCapacity
-	retention time.Duration // 0 means the constant
+	capacity  int           // maximum number of claims, 0 means defaultCapacity
+	retention time.Duration // 0 means claimRetention
 	// maxUnconfirmed is how long the agent claims without a confirmation of its
-	// view, 0 means the constant.
+	// view, 0 means the constant of the same name.
 	maxUnconfirmed time.Duration
 	self           func() view.Incarnation
 	serviceID      func() view.ServiceID
-	confirmed      func(now time.Time) bool // whether a leader confirmed the view lately
-	sibling        func(agent view.Agent) caller
+	viewConfirmed  func(now time.Time) bool // whether a leader has confirmed the view recently
+	siblingClient  func(agent view.Agent) rpcClient
 	logger         *slog.Logger
 }
 
@@ -70,30 +73,32 @@
 	history *claim.History
 	agents  map[view.Incarnation]view.Agent
 	// confirmedAt is when a leader last confirmed the view. After a gap of more
-	// than maxUnconfirmed, memberships may have come and gone unseen, under which
-	// others have claimed: the history counts again once siblings have told theirs.
+	// than maxUnconfirmed, the agent may have missed memberships under which
+	// other agents claimed keys, so the history is not used until siblings have
+	// sent theirs.
 	confirmedAt time.Time
-	gap         bool
-	established bool          // the history was complete once
-	position    view.Position // of the view in force
-	// promised is the newest view that a sibling has told of. An agent that has
-	// not claimed yet does not begin under an older one.
-	promised view.Position
-	seen     time.Time // when the first agents of the service were observed
-
-	expired  time.Time               // last time that old claims were dropped
-	asking   bool                    // a call for the past is in progress
-	active   map[uint64]*activeClaim // by sequence of the execution
-	sequence uint64
-	incoming map[view.Incarnation]*incoming // transfers by seat, as far as received
-	calls    map[view.Incarnation]int       // calls in progress by holder
+	historyGap  bool
+	established bool          // the history has been complete at least once
+	position    view.Position // of the current view
+	// newestSeenPosition is the position of the newest view that a sibling has
+	// reported. An agent that has not claimed yet does not start claiming under
+	// an older view.
+	newestSeenPosition view.Position
+	firstAgentsAt      time.Time // when a view first contained agents of the service
+
+	lastExpiry        time.Time               // when expired claims were last dropped
+	queryingHistory   bool                    // a query for the history of siblings is in progress
+	active            map[uint64]*activeClaim // by sequence of the execution
+	sequence          uint64
+	incomingTransfers map[view.Incarnation]*incomingTransfer // partly received transfers by seat
+	callsInProgress   map[view.Incarnation]int               // calls in progress by holder
 }
 
 // activeClaim is a claimant and the request that waits for its decision.
 type activeClaim struct {
 	claimant *claim.Claimant
 	decided  chan claim.Decision // buffered; closed after the decision
-	recorded chan struct{}       // closed when a majority of the holders knows the outcome
+	recorded chan struct{}       // closed when a majority of the holders has recorded the outcome
 }
 
 func newClaims(options claimOptions) *claims {
@@ -102,7 +107,7 @@
 	}
 
 	if options.retention == 0 {
-		options.retention = retention
+		options.retention = claimRetention
 	}
 
 	if options.maxUnconfirmed == 0 {
@@ -110,33 +115,33 @@
 	}
 
 	return &claims{
-		claimOptions: options,
-		events:       make(chan func(now time.Time), 64),
-		stopped:      make(chan struct{}),
-		history:      claim.NewHistory(time.Now(), options.retention, options.maxUnconfirmed),
-		agents:       make(map[view.Incarnation]view.Agent),
-		active:       make(map[uint64]*activeClaim),
-		incoming:     make(map[view.Incarnation]*incoming),
-		calls:        make(map[view.Incarnation]int),
+		claimOptions:      options,
+		events:            make(chan func(now time.Time), 64),
+		stopped:           make(chan struct{}),
+		history:           claim.NewHistory(time.Now(), options.retention, options.maxUnconfirmed),
+		agents:            make(map[view.Incarnation]view.Agent),
+		active:            make(map[uint64]*activeClaim),
+		incomingTransfers: make(map[view.Incarnation]*incomingTransfer),
+		callsInProgress:   make(map[view.Incarnation]int),
 	}
 }
 
 // run owns the state until the context ends.
 func (c *claims) run(ctx context.Context) {
 	defer c.background.Wait()
-	defer close(c.stopped) // first, since calls in progress may wait for it
+	defer close(c.stopped) // before the wait, since calls in progress may wait for it
 
 	timer := time.NewTimer(expireInterval)
 	defer timer.Stop()
 
-	expiry := time.NewTicker(pastInterval)
-	defer expiry.Stop()
+	housekeeping := time.NewTicker(housekeepingInterval)
+	defer housekeeping.Stop()
 
 	for {
 		select {
 		case event := <-c.events:
 			event(time.Now())
-		case <-expiry.C:
+		case <-housekeeping.C:
 			c.housekeep(ctx, time.Now())
 		case <-timer.C:
 		case <-ctx.Done():
@@ -147,12 +152,12 @@
 	}
 }
 
-// do runs an event on the goroutine that owns the state, see runOwned.
+// do runs an event on the goroutine that owns the state; see runOnOwner.
 func (c *claims) do(ctx context.Context, event func(now time.Time)) bool {
-	return runOwned(ctx, c.events, c.stopped, event)
+	return runOnOwner(ctx, c.events, c.stopped, event)
 }
 
-// post runs an event later, without waiting for it.
+// post queues an event without waiting until it has run.
 func (c *claims) post(ctx context.Context, event func(now time.Time)) {
 	select {
 	case c.events <- event:
@@ -170,8 +175,8 @@
 
 		c.position = position
 
-		if c.seen.IsZero() && len(agents) > 0 {
-			c.seen = now
+		if c.firstAgentsAt.IsZero() && len(agents) > 0 {
+			c.firstAgentsAt = now
 		}
 
 		for _, agent := range agents {
@@ -198,41 +203,41 @@
 		return
 	}
 
-	if now.Sub(c.expired) >= expireInterval {
+	if now.Sub(c.lastExpiry) >= expireInterval {
 		c.store.Expire(now)
-		c.expired = now
+		c.lastExpiry = now
 	}
 
 	switch {
-	case !c.confirmed(now):
-		// Nothing can be claimed on this view, whatever siblings know.
-	case c.gap || !c.history.Complete(now):
-		c.askPast(ctx)
+	case !c.viewConfirmed(now):
+		// Nothing can be claimed on an unconfirmed view, whatever siblings report.
+	case c.historyGap || !c.history.Complete(now):
+		c.queryHistory(ctx)
 	default:
 		c.established = true
 	}
 }
 
 // confirm passes the confirmation of the view on to the history, unless there
-// was a gap that is not filled yet.
+// was a gap that the histories of siblings have not filled yet.
 func (c *claims) confirm(now time.Time) {
-	if !c.confirmed(now) {
+	if !c.viewConfirmed(now) {
 		return
 	}
 
 	if c.established && now.Sub(c.confirmedAt) > c.maxUnconfirmed {
-		c.gap = true
-		c.logger.Warn("memberships may have been missed, siblings are asked", "unconfirmed_for", now.Sub(c.confirmedAt))
+		c.historyGap = true
+		c.logger.Warn("memberships may have been missed, querying siblings", "unconfirmed_for", now.Sub(c.confirmedAt))
 	}
 
 	c.confirmedAt = now
 
-	if !c.gap {
+	if !c.historyGap {
 		c.history.Confirm(now)
 	}
 }
 
-// advance moves all claimants on and returns when to do so again.
+// advance advances all claimants and returns the time until the next call is due.
 func (c *claims) advance(ctx context.Context, now time.Time) time.Duration {
 	next := now.Add(expireInterval)
 
@@ -250,7 +255,7 @@
 			active.decided = nil
 		}
 
-		if claimant.Recorded() && !closed(active.recorded) {
+		if claimant.Recorded() && !isClosed(active.recorded) {
 			close(active.recorded)
 		}
 
@@ -281,27 +286,27 @@
 		return
 	}
 
-	if c.calls[message.To] >= maxCalls {
+	if c.callsInProgress[message.To] >= maxCallsPerHolder {
 		return
 	}
 
-	c.calls[message.To]++
-	client := c.sibling(holder)
+	c.callsInProgress[message.To]++
+	client := c.siblingClient(holder)
 
 	c.background.Go(func() {
-		limited, cancel := context.WithTimeout(ctx, claimCall)
+		callCtx, cancel := context.WithTimeout(ctx, claimCallTimeout)
 		defer cancel()
 
 		var reply claim.Reply
 
-		err := client.Call(limited, methodClaim, &message.Request, &reply)
+		err := client.Call(callCtx, methodClaim, &message.Request, &reply)
 		if err != nil {
 			c.logger.Debug("holder did not answer", "holder", message.To, "error", err)
 		}
 
 		c.post(ctx, func(now time.Time) {
-			if c.calls[message.To]--; c.calls[message.To] == 0 {
-				delete(c.calls, message.To)
+			if c.callsInProgress[message.To]--; c.callsInProgress[message.To] == 0 {
+				delete(c.callsInProgress, message.To)
 			}
 
 			if err == nil {
@@ -356,7 +361,7 @@
 // register adds the methods that siblings call.
 func (c *claims) register(server *link.Server) {
 	server.Handle(methodClaim, c.handleClaim)
-	server.Handle(methodPast, c.handlePast)
+	server.Handle(methodHistory, c.handleHistory)
 	server.Handle(methodTransfer, c.handleTransfer)
 	server.Handle(methodMoved, c.handleMoved)
 }
--- a/internal/program/agent/claims_test.go
+++ b/internal/program/agent/claims_test.go
@@ -22,19 +22,19 @@
 	"jayspindle/internal/transport/link"
 )
 
-// fleet is the claims of several agents in one process with a lossy network.
+// fleet runs the claims of several agents in one process over a lossy network.
 type fleet struct {
-	mutex    sync.Mutex
-	random   *rand.Rand
-	loss     float64
-	nodes    map[view.Incarnation]*node
-	runs     map[string]int // by key
-	position uint64
-	working  time.Duration // of a run
-	group    conc.WaitGroup
+	mutex       sync.Mutex
+	random      *rand.Rand
+	loss        float64
+	nodes       map[view.Incarnation]*node
+	runs        map[string]int // by key
+	position    uint64
+	runDuration time.Duration // of a request at the backend server
+	group       conc.WaitGroup
 }
 
-// node is one agent. A dead one neither sends nor answers.
+// node is one agent. A dead node neither sends nor receives messages.
 type node struct {
 	*claims
 	fleet     *fleet
@@ -45,13 +45,14 @@
 	stop      context.CancelFunc
 }
 
-// newFleet starts agents that are ready to claim. It must run in a bubble.
+// newFleet starts agents that are ready to claim. It must run in a
+// synctest bubble.
 func newFleet(t *testing.T, seed uint64, count int) *fleet {
 	t.Helper()
 
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), nodes: make(map[view.Incarnation]*node), runs: make(map[string]int),
-		working: 20 * time.Millisecond,
+		runDuration: 20 * time.Millisecond,
 	}
 	for i := range count {
 		f.start(view.Incarnation(i + 1))
@@ -67,17 +68,17 @@
 	n := &node{fleet: f, number: number, confirmed: true}
 	n.claims = newClaims(claimOptions{
 		service: "s", zone: zoneOf(number), capacity: 1000, retention: time.Minute, maxUnconfirmed: 30 * time.Second,
-		self:      func() view.Incarnation { return number },
-		serviceID: func() view.ServiceID { return 1 },
-		confirmed: func(time.Time) bool { f.mutex.Lock(); defer f.mutex.Unlock(); return n.confirmed },
-		sibling:   func(agent view.Agent) caller { return path{from: n, to: agent.Incarnation} },
-		logger:    slog.New(slog.DiscardHandler),
+		self:          func() view.Incarnation { return number },
+		serviceID:     func() view.ServiceID { return 1 },
+		viewConfirmed: func(time.Time) bool { f.mutex.Lock(); defer f.mutex.Unlock(); return n.confirmed },
+		siblingClient: func(agent view.Agent) rpcClient { return lossyPath{from: n, to: agent.Incarnation} },
+		logger:        slog.New(slog.DiscardHandler),
 	})
 	n.placer, _ = newScripted(1)
 	n.placer.local = n
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
-	f.set(func() { f.nodes[number] = n })
+	f.withLock(func() { f.nodes[number] = n })
 	f.group.Go(func() { n.claims.run(ctx) })
 }
 
@@ -91,7 +92,8 @@
 
 func zoneOf(number view.Incarnation) string { return strconv.Itoa(int(number) % 3) }
 
-// publish gives the nodes a view of all agents but those left out.
+// publish sends the nodes a view in which the agents of without are suspended.
+// An empty list of recipients means all nodes.
 func (f *fleet) publish(t *testing.T, to []view.Incarnation, without ...view.Incarnation) {
 	t.Helper()
 
@@ -123,12 +125,12 @@
 	synctest.Wait()
 }
 
-// run is the backend server of a node.
+// run acts as the backend server of a node.
 func (n *node) run(_ context.Context, c *call) *result {
 	n.fleet.mutex.Lock()
 	n.fleet.runs[c.key]++
 	n.fleet.mutex.Unlock()
-	time.Sleep(n.fleet.working)
+	time.Sleep(n.fleet.runDuration)
 
 	return answered("answer " + c.key)
 }
@@ -141,20 +143,20 @@
 	return f.nodes[n].runOnce(context.Background(), c, f.nodes[n].placer)
 }
 
-func (f *fleet) set(change func()) {
+func (f *fleet) withLock(change func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	change()
 }
 
-// path is the network between two nodes.
-type path struct {
+// lossyPath is a lossy network path between two nodes.
+type lossyPath struct {
 	from *node
 	to   view.Incarnation
 }
 
-// cut reports whether a message is lost now.
-func (p path) cut() bool {
+// dropsMessage reports whether the next message is lost.
+func (p lossyPath) dropsMessage() bool {
 	f := p.from.fleet
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -162,13 +164,13 @@
 	return p.from.dead || f.nodes[p.to].dead || f.random.Float64() < f.loss
 }
 
-func (p path) Call(ctx context.Context, _ string, request, reply any) error {
+func (p lossyPath) Call(ctx context.Context, _ string, request, reply any) error {
 	lost := func() error {
 		<-ctx.Done()
 
 		return link.Errorf(link.KindDeadline, "lost")
 	}
-	if p.cut() {
+	if p.dropsMessage() {
 		return lost()
 	}
 
@@ -179,7 +181,7 @@
 		err    error
 	)
 
-	p.from.fleet.set(func() { target = p.from.fleet.nodes[p.to] })
+	p.from.fleet.withLock(func() { target = p.from.fleet.nodes[p.to] })
 
 	switch message := request.(type) {
 	case *claim.Request:
@@ -192,10 +194,10 @@
 	case *movedSeat:
 		target.answerMoved(ctx, *message)
 	default:
-		*reply.(*pastReply) = *target.answerPast(ctx, *request.(*pastRequest))
+		*reply.(*historyReply) = *target.answerHistory(ctx, *request.(*historyRequest))
 	}
 
-	if p.cut() {
+	if p.dropsMessage() {
 		return lost()
 	}
 
@@ -212,15 +214,16 @@
 	is.Equal(string(body), "answer "+key)
 }
 
-// Guards against a non-idempotent request that runs twice, or that runs after
-// a refusal, when replies between agents are lost and callers resend elsewhere.
+// Guards against a non-idempotent request that runs twice, or that runs although
+// it was refused, when replies between agents are lost and callers resend the
+// request to other agents.
 func TestClaimsLostReplies(t *testing.T) {
 	soak.Run(t, 5, func(t *testing.T, seed uint64) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, seed, 5)
 			defer f.close()
 
-			f.set(func() { f.loss = 0.2 })
+			f.withLock(func() { f.loss = 0.2 })
 
 			var group conc.WaitGroup
 
@@ -247,20 +250,20 @@
 }
 
 func TestClaims(t *testing.T) {
-	// Guards against a second run when the agent is killed between claim and answer.
+	// Guards against a second run when the agent is killed between the claim and the answer.
 	t.Run("killed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(t, 1, 5)
 			defer f.close()
 
-			f.set(func() { f.working = 10 * time.Second })
+			f.withLock(func() { f.runDuration = 10 * time.Second })
 
 			var group conc.WaitGroup
 
 			group.Go(func() { f.send(1, "k") })
 			time.Sleep(time.Second)
-			f.set(func() { f.nodes[1].dead = true })
+			f.withLock(func() { f.nodes[1].dead = true })
 			is.Equal(f.send(2, "k").status, 409)
 			f.publish(t, []view.Incarnation{2, 3, 4, 5}, 1)
 			assertState(t, f.send(3, "k"), peer.Unknown)
@@ -269,7 +272,7 @@
 		})
 	})
 
-	// Guards against claims that are lost with an agent that drains.
+	// Guards against the loss of claims when an agent drains.
 	t.Run("drain", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -291,7 +294,7 @@
 		})
 	})
 
-	// Guards against a starting agent that crashes when claims are handed to it.
+	// Guards against a starting agent that crashes when it receives a claim transfer.
 	t.Run("transfer to a starting agent", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 1, 1)
@@ -303,8 +306,8 @@
 		})
 	})
 
-	// Guards against a second run through an agent that was suspended and cut off
-	// for longer than claims of its last membership are kept.
+	// Guards against a second run through an agent that was suspended and
+	// disconnected for longer than the claims of its last membership are kept.
 	t.Run("resumed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -316,7 +319,7 @@
 				f.start(number)
 			}
 
-			f.set(func() { f.nodes[1].dead, f.nodes[1].confirmed = true, false })
+			f.withLock(func() { f.nodes[1].dead, f.nodes[1].confirmed = true, false })
 			f.publish(t, others, 1)
 			time.Sleep(2 * time.Minute)
 
@@ -330,8 +333,8 @@
 
 			f.publish(t, append(others, 8, 9, 10), 2, 3, 4, 5, 6, 7)
 			f.publish(t, nil, 2, 3, 4, 5, 6, 7)
-			f.set(func() { f.nodes[1].dead, f.nodes[1].confirmed = false, true })
-			assertAnswer(t, f.send(1, "0"), "0") // waits until it knows the past, and does not run again
+			f.withLock(func() { f.nodes[1].dead, f.nodes[1].confirmed = false, true })
+			assertAnswer(t, f.send(1, "0"), "0") // waits for a complete history and does not run again
 			is.Equal(f.runs["0"], 1)
 			time.Sleep(3 * time.Second)
 
@@ -344,7 +347,7 @@
 		})
 	})
 
-	// Guards against a claim that nobody ends when its caller leaves at once.
+	// Guards against a claim that is never ended when its caller cancels at once.
 	t.Run("cancelled", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 1, 3)
@@ -365,8 +368,8 @@
 }
 
 // TestFirstAgentLost guards against the loss of every key of a service whose
-// agents were deployed one after the other: the first one was alone for a moment,
-// and claims had to ask it as long as claims are kept.
+// agents were deployed one after the other: the first one was the only member for a
+// moment, so claims had to ask it for as long as claims are kept.
 func TestFirstAgentLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 0)
@@ -383,7 +386,7 @@
 		is := is.New(t)
 		is.Equal(f.send(2, "before").state, peer.Answered)
 
-		f.set(func() { f.nodes[1].dead = true })
+		f.withLock(func() { f.nodes[1].dead = true })
 		f.publish(t, []view.Incarnation{2, 3, 4}, 1)
 
 		for key := range 20 {
@@ -392,8 +395,8 @@
 	})
 }
 
-// TestLoneAgent guards against a service of one agent that never takes work which
-// must not be repeated, because it waits for others.
+// TestLoneAgent guards against a service of one agent that never accepts
+// non-idempotent requests because it waits for more agents.
 func TestLoneAgent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 1)
--- a/internal/program/agent/counters.go
+++ b/internal/program/agent/counters.go
@@ -23,15 +23,15 @@
 
 // The causes beside those of package admission.
 const (
-	causeUnhealthy  cause = "backend server unhealthy"
-	causeConnect    cause = "backend server refused the connection"
-	causeShed       cause = "backend server shed the request"
-	causeBroken     cause = "backend server did not answer"
-	causeSibling    cause = "sibling"
-	causeSiblingGet cause = "sibling not reached"
-	causeNoBackend  cause = "no backend server"
-	causeClaim      cause = "claim"
-	causeCaller     cause = "malformed request"
+	causeUnhealthy          cause = "backend server unhealthy"
+	causeConnect            cause = "backend server refused the connection"
+	causeShed               cause = "backend server shed the request"
+	causeNoResponse         cause = "backend server did not answer"
+	causeSibling            cause = "sibling"
+	causeSiblingUnreachable cause = "sibling not reached"
+	causeNoBackend          cause = "no backend server"
+	causeClaim              cause = "claim"
+	causeMalformedRequest   cause = "malformed request"
 )
 
 // verdictNames are the keys of claimResults.
--- a/internal/program/agent/drain.go
+++ b/internal/program/agent/drain.go
@@ -11,13 +11,14 @@
 	"jayspindle/internal/state/view"
 )
 
-const drainPoll = 50 * time.Millisecond
+const drainPollInterval = 50 * time.Millisecond
 
-// drain stops the agent without cutting a request: the controllers take it out
-// of the tables, its feeds move, requests in progress finish.
+// drain stops the agent without aborting requests: the controllers remove it
+// from the tables, its feeds move to other agents, and requests in progress
+// finish.
 func (a *Agent) drain(ctx context.Context, listener *quic.Listener) {
 	a.logger.Info("draining")
-	a.observed.SetReady(false)
+	a.telemetry.SetReady(false)
 	a.gate.drain(ctx)
 	a.leave(ctx, control.PhaseDraining)
 	a.waitDraining(ctx)
@@ -29,9 +30,9 @@
 	a.waitIdle(ctx)
 	group.Wait()
 
-	// No flow is left that a new one could be mistaken for.
+	// All flows have ended, so refusing new ones cannot affect an existing one.
 	if err := listener.Close(); err != nil {
-		a.logger.Debug("listener not closed", "error", err)
+		a.logger.Debug("could not close the listener", "error", err)
 	}
 
 	a.claims.handOff(ctx)
@@ -39,7 +40,8 @@
 	a.logger.Info("drained")
 }
 
-// leave tells the controllers, with attempts for as long as the lease lasts.
+// leave notifies the controllers of the phase. It retries for as long as the
+// lease lasts.
 func (a *Agent) leave(ctx context.Context, phase control.Phase) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -50,16 +52,16 @@
 			return
 		}
 
-		if !pause(ctx, drainPoll) {
-			a.logger.Warn("controllers not told, the lease will expire", "phase", phase, "error", err)
+		if !sleep(ctx, drainPollInterval) {
+			a.logger.Warn("could not notify the controllers, the lease will expire", "phase", phase, "error", err)
 
 			return
 		}
 	}
 }
 
-// waitDraining returns once the view in force shows the agent as draining and
-// balancers had time to apply it, or after leaveTimeout.
+// waitDraining returns once the current view shows the agent as draining and
+// balancers have had time to apply that view, or after leaveTimeout.
 func (a *Agent) waitDraining(ctx context.Context) {
 	limit, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -70,41 +72,41 @@
 			break
 		}
 
-		if !pause(limit, drainPoll) {
+		if !sleep(limit, drainPollInterval) {
 			return
 		}
 	}
 
-	pause(limit, drainSettle)
+	sleep(limit, drainPropagationDelay)
 }
 
 // shutDown asks callers to open new flows and waits for their requests. Feeds
-// whose callers stay are ended between two events after the drain timeout.
+// that are still open after the drain timeout are closed between two events.
 func (a *Agent) shutDown(ctx context.Context) {
-	timer := time.AfterFunc(a.config.DrainTimeout, a.feeds.end)
+	timer := time.AfterFunc(a.config.DrainTimeout, a.feeds.stop)
 	defer timer.Stop()
 
 	limit, cancel := context.WithTimeout(ctx, 2*a.config.DrainTimeout)
 	defer cancel()
 
 	if err := a.server.Shutdown(limit); err != nil {
-		a.logger.Error("flows cut at the end of the drain", "error", err)
+		a.logger.Error("drain timed out, closing the remaining flows", "error", err)
 	}
 }
 
 // waitIdle returns when neither callers nor siblings have a request at the
-// backend server, or after the drain timeout.
+// backend server, or after twice the drain timeout.
 func (a *Agent) waitIdle(ctx context.Context) {
 	limit, cancel := context.WithTimeout(ctx, 2*a.config.DrainTimeout)
 	defer cancel()
 
 	for {
-		now := a.gate.occupancy(limit)
-		if now.running == 0 && now.feeds == 0 && now.waiting == 0 {
+		current := a.gate.occupancy(limit)
+		if current.running == 0 && current.feeds == 0 && current.waiting == 0 {
 			return
 		}
 
-		if !pause(limit, drainPoll) {
+		if !sleep(limit, drainPollInterval) {
 			return
 		}
 	}
--- a/internal/program/agent/feeds.go
+++ b/internal/program/agent/feeds.go
@@ -19,13 +19,13 @@
 	// drainingComment announces on a feed that the agent will stop. Readers of
 	// server-sent events ignore comments unless they know this one.
 	drainingComment = ": draining\n\n"
-	// maxEvent bounds one server-sent event in bytes.
-	maxEvent = 1 << 20
-	// resumePause is the pause before a feed is resumed at another backend server.
-	// It doubles up to maxResumePause while no event arrives: a backend server
-	// that ends every feed at once would otherwise get as many as it can refuse.
-	resumePause    = 50 * time.Millisecond
-	maxResumePause = time.Second
+	// maxEventBytes bounds one server-sent event in bytes.
+	maxEventBytes = 1 << 20
+	// resumeDelay is the delay before a feed is resumed on another backend server.
+	// It doubles up to maxResumeDelay while no event arrives. Otherwise a backend
+	// server that ends every feed immediately would be flooded with resumptions.
+	resumeDelay    = 50 * time.Millisecond
+	maxResumeDelay = time.Second
 	// resumeTimeout bounds the wait for the first byte of a resumed feed.
 	resumeTimeout = 2 * time.Second
 )
@@ -35,73 +35,73 @@
 	placer  *placer
 	logger  *slog.Logger
 	drained chan struct{}
-	ended   chan struct{}
+	stopped chan struct{}
 }
 
 func newFeeds(placer *placer, logger *slog.Logger) *feeds {
-	return &feeds{placer: placer, logger: logger, drained: make(chan struct{}), ended: make(chan struct{})}
+	return &feeds{placer: placer, logger: logger, drained: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-// drain announces to all callers that the agent will stop.
+// drain tells all callers that the agent will stop.
 func (f *feeds) drain() { close(f.drained) }
 
-// end ends all feeds between two events, so that callers can resume.
-func (f *feeds) end() { close(f.ended) }
+// stop closes all feeds between two events, so that callers can resume them.
+func (f *feeds) stop() { close(f.stopped) }
 
-// serve copies events to the caller until the caller leaves. When a backend
-// server ends its feed, another one resumes it after the last event.
+// serve copies events to the caller until the caller disconnects. When a
+// backend server ends the feed, another one resumes it after the last event.
 func (f *feeds) serve(ctx context.Context, response http.ResponseWriter, c *call) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	stream := &eventWriter{response: response, last: c.header.Get(headerLastEvent)}
+	stream := &eventWriter{response: response, lastEventID: c.header.Get(headerLastEvent)}
 
-	for wait := resumePause; ; wait = min(2*wait, maxResumePause) {
-		before := stream.written
-		outcome := f.placer.placeNear(ctx, c)
+	for delay := resumeDelay; ; delay = min(2*delay, maxResumeDelay) {
+		before := stream.eventsWritten
+		outcome := f.placer.placeLocalFirst(ctx, c)
 
 		switch {
 		case outcome.state == peer.Answered && outcome.status == http.StatusOK:
-			f.count(stream)
-			stream.start(outcome)
-			f.copy(ctx, stream, outcome.body)
-		case !f.failed(response, stream, outcome):
+			f.countStart(stream)
+			stream.writeHeader(outcome)
+			f.copyEvents(ctx, stream, outcome.body)
+		case !f.handleFailure(response, stream, outcome):
 			return
 		}
 
-		if stream.written > before {
-			wait = resumePause
+		if stream.eventsWritten > before {
+			delay = resumeDelay
 		}
 
-		if ctx.Err() != nil || closed(f.ended) || !pause(ctx, wait) {
+		if ctx.Err() != nil || isClosed(f.stopped) || !sleep(ctx, delay) {
 			return
 		}
 
 		c.deadline = time.Now().Add(resumeTimeout)
 
-		if stream.last != "" {
-			c.header.Set(headerLastEvent, stream.last)
+		if stream.lastEventID != "" {
+			c.header.Set(headerLastEvent, stream.lastEventID)
 		}
 	}
 }
 
-// count counts a feed that a backend server has started.
-func (*feeds) count(stream *eventWriter) {
+// countStart counts a feed that a backend server has started.
+func (*feeds) countStart(stream *eventWriter) {
 	switch {
 	case stream.started:
 		feedEvents.Add("moved to another backend server", 1)
-	case stream.last != "":
+	case stream.lastEventID != "":
 		feedEvents.Add("resumed by a caller", 1)
 	default:
 		feedEvents.Add("opened", 1)
 	}
 }
 
-// failed handles a feed that did not start. It reports whether to try again,
-// which is the case once the caller has received the start of the feed, unless
-// a backend server answers that it cannot be resumed: the caller then learns
-// why when it asks itself.
-func (f *feeds) failed(response http.ResponseWriter, stream *eventWriter, outcome *result) bool {
+// handleFailure handles a feed that did not start and reports whether to retry. It
+// retries once the caller has received the header of the feed, unless a backend
+// server answers that the feed cannot be resumed: the caller then gets the reason
+// when it opens the feed again.
+func (f *feeds) handleFailure(response http.ResponseWriter, stream *eventWriter, outcome *result) bool {
 	if outcome.state == peer.Answered {
 		defer outcome.body.Close()
 	}
@@ -115,7 +115,7 @@
 			return false
 		}
 
-		f.logger.Warn("feed not resumed yet", "outcome", outcome.state.String(), "reason", outcome.reason)
+		f.logger.Warn("could not resume the feed, retrying", "outcome", outcome.state.String(), "reason", outcome.reason)
 
 		return true
 	}
@@ -134,23 +134,23 @@
 	response.WriteHeader(outcome.status)
 
 	if _, err := io.Copy(response, outcome.body); err != nil {
-		panic(http.ErrAbortHandler) // a part must not pass for the whole
+		panic(http.ErrAbortHandler) // the caller must not take a truncated body for a complete one
 	}
 
 	return false
 }
 
-// copy copies whole events until the backend server or the caller ends the
+// copyEvents copies whole events until the backend server or the caller ends the
 // feed, or the agent stops.
-func (f *feeds) copy(ctx context.Context, stream *eventWriter, body io.ReadCloser) {
+func (f *feeds) copyEvents(ctx context.Context, stream *eventWriter, body io.ReadCloser) {
 	ctx, cancel := context.WithCancel(ctx)
-	reader := make(chan []byte)
+	eventCh := make(chan []byte)
 
 	var group conc.WaitGroup
 
 	group.Go(func() {
-		if err := readEvents(ctx, body, reader); err != nil {
-			f.logger.Info("feed of a backend server broke off", "cause", err)
+		if err := readEvents(ctx, body, eventCh); err != nil {
+			f.logger.Info("backend server feed interrupted", "cause", err)
 		}
 	})
 
@@ -162,21 +162,21 @@
 		group.Wait()
 	}()
 
-	announced := f.drained
+	drainSignal := f.drained
 
 	for {
 		select {
-		case event, ok := <-reader:
+		case event, ok := <-eventCh:
 			if !ok || !stream.write(event) {
 				return
 			}
-		case <-announced:
-			announced = nil
+		case <-drainSignal:
+			drainSignal = nil
 
-			if !stream.comment(drainingComment) {
+			if !stream.writeText(drainingComment) {
 				return
 			}
-		case <-f.ended:
+		case <-f.stopped:
 			return
 		case <-ctx.Done():
 			return
@@ -184,8 +184,8 @@
 	}
 }
 
-// readEvents sends the whole events of a body and closes the channel at its
-// end. A part of an event at the end is dropped: the resumed feed repeats it.
+// readEvents sends the complete events of a body and closes the channel at its
+// end. A partial event at the end is dropped because the resumed feed repeats it.
 func readEvents(ctx context.Context, body io.Reader, events chan<- []byte) error {
 	defer close(events)
 
@@ -193,7 +193,7 @@
 
 	buffer := make([]byte, 16<<10)
 
-	for len(pending) < maxEvent {
+	for len(pending) < maxEventBytes {
 		n, err := body.Read(buffer)
 		pending = append(pending, buffer[:n]...)
 
@@ -222,11 +222,11 @@
 		}
 	}
 
-	return newError("read feed", KindBackend, errors.Errorf("an event exceeds %d bytes", maxEvent))
+	return newError("read feed", KindBackend, errors.Errorf("an event exceeds %d bytes", maxEventBytes))
 }
 
-// eventEnd returns the length of the first event in text, or -1 if it is not
-// whole. An empty line ends an event; lines end with LF or CRLF.
+// eventEnd returns the length of the first event in text, or -1 if the event is
+// incomplete. An empty line ends an event; lines end with LF or CRLF.
 func eventEnd(text []byte) int {
 	end := -1
 
@@ -241,14 +241,14 @@
 
 // eventWriter writes events to the caller and remembers the last event ID.
 type eventWriter struct {
-	response http.ResponseWriter
-	started  bool
-	written  int // events
-	last     string
+	response      http.ResponseWriter
+	started       bool
+	eventsWritten int
+	lastEventID   string
 }
 
-// start sends the header of the first response.
-func (w *eventWriter) start(outcome *result) {
+// writeHeader sends the header of the first response.
+func (w *eventWriter) writeHeader(outcome *result) {
 	if w.started {
 		return
 	}
@@ -266,19 +266,19 @@
 // write sends an event unless it is the one that was sent last.
 func (w *eventWriter) write(event []byte) bool {
 	if id, ok := eventID(event); ok {
-		if id == w.last {
+		if id == w.lastEventID {
 			return true
 		}
 
-		w.last = id
+		w.lastEventID = id
 	}
 
-	w.written++
+	w.eventsWritten++
 
-	return w.comment(string(event))
+	return w.writeText(string(event))
 }
 
-func (w *eventWriter) comment(text string) bool {
+func (w *eventWriter) writeText(text string) bool {
 	if _, err := io.WriteString(w.response, text); err != nil {
 		return false
 	}
@@ -301,7 +301,7 @@
 	return "", false
 }
 
-func closed(channel <-chan struct{}) bool {
+func isClosed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
 		return true
--- a/internal/program/agent/feeds_test.go
+++ b/internal/program/agent/feeds_test.go
@@ -17,7 +17,7 @@
 	"jayspindle/internal/protocol/peer"
 )
 
-// events returns whole events with the IDs, followed by a tail.
+// events returns complete events with the IDs, followed by a tail.
 func events(from, to int, tail string) string {
 	var text strings.Builder
 	for id := from; id <= to; id++ {
@@ -27,21 +27,21 @@
 	return text.String() + tail
 }
 
-// broken is a body that breaks off after a text.
-func broken(text string) *result {
+// truncated returns a result whose body fails after the text.
+func truncated(text string) *result {
 	outcome := answered("")
-	outcome.body = io.NopCloser(io.MultiReader(strings.NewReader(text), iotestErr{}))
+	outcome.body = io.NopCloser(io.MultiReader(strings.NewReader(text), failingReader{}))
 
 	return outcome
 }
 
-type iotestErr struct{}
+type failingReader struct{}
 
-func (iotestErr) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// serveFeed serves a feed whose backend servers follow the script, until the
-// script has ended, and returns what the caller got.
-func serveFeed(t *testing.T, results ...*result) (*httptest.ResponseRecorder, *script) {
+// serveFeed serves a feed whose backend servers return the results in turn, and
+// returns the caller's response.
+func serveFeed(t *testing.T, results ...*result) (*httptest.ResponseRecorder, *scriptedRunner) {
 	t.Helper()
 
 	p, shared := newScripted(3, results...)
@@ -63,18 +63,18 @@
 	}{
 		// Guards against a gap or a repeated event when a backend server ends its
 		// feed in the middle of an event.
-		"partial event": {[]*result{broken(events(1, 2, "id: 3\nda")), answered(events(3, 4, ""))}, events(1, 4, "")},
+		"partial event": {[]*result{truncated(events(1, 2, "id: 3\nda")), answered(events(3, 4, ""))}, events(1, 4, "")},
 		"cut in the blank line": {
-			[]*result{broken(events(1, 1, "id: 2\ndata: alert\n")), answered(events(2, 3, ""))}, events(1, 3, ""),
+			[]*result{truncated(events(1, 1, "id: 2\ndata: alert\n")), answered(events(2, 3, ""))}, events(1, 3, ""),
 		},
-		// Guards against an event that is passed twice when the backend server
-		// counts the last event ID as not yet seen.
-		"inclusive resumption": {[]*result{broken(events(1, 2, "")), answered(events(2, 3, ""))}, events(1, 3, "")},
+		// Guards against an event that is sent twice when the backend server
+		// resumes with the last event ID instead of after it.
+		"inclusive resumption": {[]*result{truncated(events(1, 2, "")), answered(events(2, 3, ""))}, events(1, 3, "")},
 		"refused meanwhile": {
-			[]*result{broken(events(1, 1, "")), notRun(causeShed, ""), notRun(causeShed, ""), answered(events(2, 2, ""))},
+			[]*result{truncated(events(1, 1, "")), notRun(causeShed, ""), notRun(causeShed, ""), answered(events(2, 2, ""))},
 			events(1, 2, ""),
 		},
-		// Guards against a feed that passes no event because its lines end with CRLF.
+		// Guards against a feed that delivers no event because its lines end with CRLF.
 		"CRLF": {[]*result{answered("id: 1\r\ndata: x\r\n\r\nid: 2\r\n\r\n")}, "id: 1\r\ndata: x\r\n\r\nid: 2\r\n\r\n"},
 	}
 	for name, test := range cases {
@@ -86,8 +86,8 @@
 		})
 	}
 
-	// Guards against a backend server that ends each feed at once and gets as
-	// many resumptions as the agent can send.
+	// Guards against a backend server that ends each feed immediately and is
+	// flooded with resumptions.
 	t.Run("empty feeds", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			var empty []*result
@@ -100,25 +100,25 @@
 		})
 	})
 
-	// Guards against a caller that waits for ever on a feed that no backend
-	// server will resume.
+	// Guards against a caller that waits forever on a feed that no backend server
+	// resumes.
 	t.Run("cannot be resumed", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			gone := answered("")
 			gone.status = http.StatusGone
-			_, shared := serveFeed(t, broken(events(1, 1, "")), gone, answered(events(2, 2, "")))
+			_, shared := serveFeed(t, truncated(events(1, 1, "")), gone, answered(events(2, 2, "")))
 			is.New(t).Equal(shared.calls, 2)
 		})
 	})
 
-	// Guards against a refused feed whose answer breaks off unnoticed.
+	// Guards against a truncated answer to a refused feed that goes unnoticed.
 	t.Run("cut answer", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			cut := broken("reas")
-			cut.status = http.StatusForbidden
+			refused := truncated("reas")
+			refused.status = http.StatusForbidden
 			defer func() { is.New(t).Equal(recover(), http.ErrAbortHandler) }()
 
-			serveFeed(t, cut)
+			serveFeed(t, refused)
 		})
 	})
 
@@ -138,7 +138,7 @@
 				time.Sleep(time.Second)
 				f.drain()
 				time.Sleep(time.Second)
-				f.end()
+				f.stop()
 			}()
 
 			f.serve(t.Context(), recorder, newTestCall(feed, "GET"))
@@ -147,12 +147,12 @@
 	})
 }
 
-// Guards against a part of an answer that passes for the whole.
+// Guards against a truncated answer that the caller takes for a complete one.
 func TestCutAnswer(t *testing.T) {
 	h := &handler{logger: slog.New(slog.DiscardHandler)}
 	defer func() { is.New(t).Equal(recover(), http.ErrAbortHandler) }()
 
-	outcome := broken("par")
+	outcome := truncated("par")
 	outcome.state = peer.Answered
 	h.write(t.Context(), httptest.NewRecorder(), outcome)
 }
--- a/internal/program/agent/fleet_test.go
+++ b/internal/program/agent/fleet_test.go
@@ -35,7 +35,7 @@
 	service     = "crew-link"
 )
 
-// deployment is everything that runs in the process of the test. Its upstream
+// deployment holds all programs that run in the test process. Its upstream
 // publishes a view of one service and of the members that have announced
 // themselves, without a replicated log.
 type deployment struct {
@@ -56,7 +56,7 @@
 	t.Helper()
 
 	d := &deployment{t: t, directory: t.TempDir(), publisher: rollout.New(environment)}
-	d.port = d.free("udp").Port()
+	d.port = d.freeAddress("udp").Port()
 
 	var err error
 	d.authority, err = identity.CreateAuthority(d.path("ca.pem"), d.path("ca.key"), "ca", time.Now())
@@ -82,8 +82,8 @@
 
 func (d *deployment) path(name string) string { return filepath.Join(d.directory, name) }
 
-// free returns a port on loopback that nothing uses at the moment.
-func (d *deployment) free(network string) netip.AddrPort {
+// freeAddress returns a loopback address with a port that is currently unused.
+func (d *deployment) freeAddress(network string) netip.AddrPort {
 	if network == "tcp" {
 		listener, err := net.Listen(network, "127.0.0.1:0")
 		is.New(d.t).NoErr(err)
@@ -114,8 +114,9 @@
 	}
 }
 
-// control serves announcements, renewals, leaves and views until the context ends.
-func (d *deployment) control(ctx context.Context) {
+// startController serves announcements, renewals, leaves and views until the
+// context ends.
+func (d *deployment) startController(ctx context.Context) {
 	store, err := identity.Open(d.issue(identity.RoleController, "controller"), slog.New(slog.DiscardHandler))
 	is.New(d.t).NoErr(err)
 
@@ -142,8 +143,8 @@
 	})
 }
 
-// change publishes a view with changed members.
-func (d *deployment) change(change func(contents *view.Contents)) {
+// publishChange publishes a view with changed members.
+func (d *deployment) publishChange(change func(contents *view.Contents)) {
 	d.contents.Position.Index++
 	change(&d.contents)
 
@@ -164,7 +165,7 @@
 
 	var incarnation view.Incarnation
 
-	d.change(func(contents *view.Contents) {
+	d.publishChange(func(contents *view.Contents) {
 		incarnation = view.Incarnation(contents.Position.Index)
 
 		if message.Role == control.RoleAgent {
@@ -191,7 +192,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 
-	d.change(func(contents *view.Contents) {
+	d.publishChange(func(contents *view.Contents) {
 		gone := message.Phase == control.PhaseGone
 		contents.Agents = slices.DeleteFunc(slices.Clone(contents.Agents), func(a view.Agent) bool {
 			return gone && a.Incarnation == message.Incarnation
@@ -246,12 +247,12 @@
 func (d *deployment) startBalancer(ctx context.Context, number int) (load.FabricBalancer, context.CancelFunc) {
 	name := fmt.Sprint("balancer-", number)
 	host := netip.AddrFrom4([4]byte{127, 0, 0, byte(number)})
-	debug := d.free("tcp")
+	debug := d.freeAddress("tcp")
 	observed := d.telemetry(name, number, debug)
 
 	program, err := balancer.New(balancer.Settings{
 		Instance: d.instance(name, number), Identity: d.issue(identity.RoleBalancer, name),
-		Upstreams: []netip.AddrPort{d.upstream}, Data: d.free("udp"), Relay: d.free("udp"), ListenHost: host,
+		Upstreams: []netip.AddrPort{d.upstream}, Data: d.freeAddress("udp"), Relay: d.freeAddress("udp"), ListenHost: host,
 		Workers: 1, Linger: time.Second,
 	}, observed)
 	is.New(d.t).NoErr(err)
@@ -265,10 +266,11 @@
 	return load.FabricBalancer{Host: host, Health: debug}, stop
 }
 
-// startAgent starts a backend server and its agent and returns the ledger.
+// startAgent starts a backend server and its agent and returns the path of the
+// backend server's ledger.
 func (d *deployment) startAgent(ctx context.Context, number int) (string, context.CancelFunc) {
 	name := fmt.Sprint("agent-", number)
-	listen := d.free("tcp")
+	listen := d.freeAddress("tcp")
 
 	ledger, err := backend.NewLedger(d.path(name + ".ledger"))
 	is.New(d.t).NoErr(err)
@@ -288,7 +290,7 @@
 		Instance: d.instance(name, number), Identity: d.issue(identity.RoleAgent, name),
 		Upstreams: []netip.AddrPort{d.upstream}, Service: service, ServiceKey: d.path("service.key"),
 		CallerTLS: agent.TLS{Certificate: d.path("service.pem"), Key: d.path("service.key")},
-		Data:      d.free("udp"), Peer: d.free("udp"), Backend: listen, HealthPath: "/healthz",
+		Data:      d.freeAddress("udp"), Peer: d.freeAddress("udp"), Backend: listen, HealthPath: "/healthz",
 		DrainTimeout: time.Second,
 	}, observed)
 	is.New(d.t).NoErr(err)
@@ -303,17 +305,17 @@
 	return d.path(name + ".ledger"), stop
 }
 
-// Guards against flows that break, feeds with gaps or repeated events, answers
-// to other requests and second runs while a balancer stops with datagrams in
-// flight and an agent drains with requests in progress.
+// Guards against broken flows, feeds with gaps or repeated events, answers that
+// belong to other requests, and second runs while a balancer stops with datagrams
+// in flight and an agent drains with requests in progress.
 func TestFleet(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 
 	controlled, stopControl := context.WithCancel(context.Background())
 	defer d.upstreams.Wait()
-	defer stopControl() // last, since programs tell it that they leave
-	d.control(controlled)
+	defer stopControl() // last, since programs notify it that they leave
+	d.startController(controlled)
 
 	ctx, stop := context.WithCancel(context.Background())
 	defer d.group.Wait()
@@ -333,7 +335,7 @@
 		ledgers, stopAgent = append(ledgers, ledger), stop
 	}
 
-	time.Sleep(2500 * time.Millisecond) // until the agents have views and know the past
+	time.Sleep(2500 * time.Millisecond) // until the agents have views and complete histories
 
 	callers := d.telemetry("callers", 0, netip.AddrPort{})
 	defer callers.Close(ctx)
@@ -341,8 +343,8 @@
 	client, err := load.New(load.Settings{
 		Seed: 1, Duration: 5 * time.Second, Authority: d.path("ca.pem"), Balancers: fabric, Ledgers: ledgers,
 		Workloads: []load.Workload{{
-			// With 30 flows on 3 agents by random connection IDs, the agent that
-			// drains is without any in one of 190,000 runs.
+			// With 30 flows distributed to 3 agents by random connection IDs, the
+			// draining agent has no flow in one of 190,000 runs.
 			Name: "drivers", Service: service, Port: d.port, Callers: 30, Feed: "/alerts", FeedSilence: 3 * time.Second,
 			Requests: []load.Request{
 				{
@@ -386,7 +388,7 @@
 }
 
 // assertTraces checks that requests have a span for each hop, and that their
-// sessions have one at a balancer and one at an agent.
+// sessions have one span at a balancer and one at an agent.
 func assertTraces(t *testing.T, directory string) {
 	t.Helper()
 
@@ -426,16 +428,16 @@
 		file.Close()
 	}
 
-	placed := 0
+	completeTraces := 0
 
 	for id, session := range sessions {
 		is.True(hops[session]["balancer.first_packet"] > 0)
 		is.Equal(hops[session]["agent.session"], 1)
 
 		if hops[id]["sibling.run"] > 0 && hops[id]["backend.request"] > 0 {
-			placed++
+			completeTraces++
 		}
 	}
 
-	is.True(placed > 0) // requests with all hops: balancer, agent, sibling, backend server
+	is.True(completeTraces > 0) // requests with all hops: balancer, agent, sibling, backend server
 }
--- a/internal/program/agent/gate.go
+++ b/internal/program/agent/gate.go
@@ -7,28 +7,29 @@
 	"jayspindle/internal/coordination/admission"
 )
 
-// gate guards the slots of the backend server. One goroutine owns the
-// scheduler; requests reach it through a channel of events.
+// gate limits the requests at the backend server to its slots. One goroutine
+// owns the scheduler; requests reach it through a channel of events.
 type gate struct {
-	events  chan func(now time.Time)
-	stopped chan struct{} // closed when run has ended
-	sched   *admission.Scheduler
-	waiting map[uint64]chan admission.Decision // by request ID
-	nextID  uint64
+	events    chan func(now time.Time)
+	stopped   chan struct{} // closed when run has ended
+	scheduler *admission.Scheduler
+	waiting   map[uint64]chan admission.Decision // by request ID
+	nextID    uint64
 }
 
-// pass is the permission to hand one request over. It must be closed.
-type pass struct {
+// permit allows one request to be sent to the backend server. It must be
+// released.
+type permit struct {
 	gate *gate
 	id   uint64
 }
 
 func newGate(policy admission.Policy) *gate {
 	return &gate{
-		events:  make(chan func(now time.Time)),
-		stopped: make(chan struct{}),
-		sched:   admission.New(policy),
-		waiting: make(map[uint64]chan admission.Decision),
+		events:    make(chan func(now time.Time)),
+		stopped:   make(chan struct{}),
+		scheduler: admission.New(policy),
+		waiting:   make(map[uint64]chan admission.Decision),
 	}
 }
 
@@ -49,21 +50,21 @@
 		}
 
 		now := time.Now()
-		g.settle(g.sched.Next(now))
+		g.deliver(g.scheduler.Next(now))
 
-		if wake, ok := g.sched.Wake(); ok {
+		if wake, ok := g.scheduler.Wake(); ok {
 			timer.Reset(max(0, wake.Sub(now)))
 		}
 	}
 }
 
-// do runs an event on the goroutine that owns the state, see runOwned.
+// do runs an event on the goroutine that owns the state; see runOnOwner.
 func (g *gate) do(ctx context.Context, event func(now time.Time)) bool {
-	return runOwned(ctx, g.events, g.stopped, event)
+	return runOnOwner(ctx, g.events, g.stopped, event)
 }
 
-// settle hands decisions to the requests that wait for them.
-func (g *gate) settle(decisions []admission.Decision) {
+// deliver sends decisions to the requests that wait for them.
+func (g *gate) deliver(decisions []admission.Decision) {
 	for _, decision := range decisions {
 		if waiter, ok := g.waiting[decision.ID]; ok {
 			delete(g.waiting, decision.ID)
@@ -72,9 +73,9 @@
 	}
 }
 
-// enter waits for a slot, or for a connection if the class is a feed. Without
-// a pass the reason says why the request was not run.
-func (g *gate) enter(ctx context.Context, class string, deadline time.Time) (*pass, admission.Reason) {
+// acquire waits for a slot, or for a connection if the class is a feed. Without
+// a permit, the reason says why the request was not run.
+func (g *gate) acquire(ctx context.Context, class string, deadline time.Time) (*permit, admission.Reason) {
 	var (
 		id       uint64
 		decision admission.Decision
@@ -84,7 +85,7 @@
 	offered := g.do(ctx, func(now time.Time) {
 		g.nextID++
 		id = g.nextID
-		decision = g.sched.Offer(now, admission.Request{ID: id, Class: class, Deadline: deadline})
+		decision = g.scheduler.Offer(now, admission.Request{ID: id, Class: class, Deadline: deadline})
 
 		if decision.Action == admission.Wait {
 			g.waiting[id] = waiter
@@ -102,11 +103,11 @@
 		return nil, decision.Reason
 	}
 
-	return &pass{gate: g, id: id}, admission.ReasonNone
+	return &permit{gate: g, id: id}, admission.ReasonNone
 }
 
-// await returns the decision for a queued request. A caller that gives up
-// takes its request out of the queue.
+// await returns the decision for a queued request. If the caller
+// gives up, its request is removed from the queue.
 func (g *gate) await(ctx context.Context, id uint64, waiter chan admission.Decision) admission.Decision {
 	select {
 	case decision := <-waiter:
@@ -119,38 +120,39 @@
 	g.do(context.WithoutCancel(ctx), func(now time.Time) {
 		delete(g.waiting, id)
 
-		if g.sched.Cancel(now, id).Action == admission.Abort {
-			// The slot was granted in the same moment and is given back unused.
-			g.sched.Finish(now, id, admission.Abandoned)
+		if g.scheduler.Cancel(now, id).Action == admission.Abort {
+			// The slot was granted concurrently and is released unused.
+			g.scheduler.Finish(now, id, admission.Abandoned)
 		}
 	})
 
 	return cancelled
 }
 
-// close frees the slot.
-func (p *pass) close(outcome admission.Outcome) {
-	p.gate.do(context.Background(), func(now time.Time) { p.gate.sched.Finish(now, p.id, outcome) })
+// release frees the slot.
+func (p *permit) release(outcome admission.Outcome) {
+	p.gate.do(context.Background(), func(now time.Time) { p.gate.scheduler.Finish(now, p.id, outcome) })
 }
 
-// drain stops new work and refuses what waits.
+// drain refuses new and queued requests.
 func (g *gate) drain(ctx context.Context) {
-	g.do(ctx, func(now time.Time) { g.settle(g.sched.Drain(now)) })
+	g.do(ctx, func(now time.Time) { g.deliver(g.scheduler.Drain(now)) })
 }
 
 // reconfigure applies the classes and limits of a changed document.
 func (g *gate) reconfigure(ctx context.Context, policy admission.Policy) {
-	g.do(ctx, func(now time.Time) { g.settle(g.sched.Reconfigure(now, policy)) })
+	g.do(ctx, func(now time.Time) { g.deliver(g.scheduler.Reconfigure(now, policy)) })
 }
 
-// occupancy is what runs and waits at the backend server.
+// occupancy counts the running requests, feeds and waiting requests of the
+// backend server.
 type occupancy struct{ running, feeds, waiting int }
 
 func (g *gate) occupancy(ctx context.Context) occupancy {
 	var current occupancy
 
 	g.do(ctx, func(time.Time) {
-		current = occupancy{running: g.sched.Running(), feeds: g.sched.Feeds(), waiting: g.sched.Waiting()}
+		current = occupancy{running: g.scheduler.Running(), feeds: g.scheduler.Feeds(), waiting: g.scheduler.Waiting()}
 	})
 
 	return current
--- a/internal/program/agent/gate_test.go
+++ b/internal/program/agent/gate_test.go
@@ -19,16 +19,16 @@
 	feed   = view.Class{Name: "feed", Urgency: 0, Idempotent: true, Feed: true, Deadline: 2 * time.Second}
 )
 
-func policy(slots int) admission.Policy {
+func testPolicy(slots int) admission.Policy {
 	return admission.PolicyOf(view.Service{
 		Slots: uint16(slots), Connections: 10, Classes: []view.Class{report, alert, feed},
 	})
 }
 
-// startGate runs a gate in the bubble of a synctest and returns its end.
+// startGate runs a gate and returns a function that stops it.
 func startGate(slots int) (*gate, func()) {
 	ctx, stop := context.WithCancel(context.Background())
-	g := newGate(policy(slots))
+	g := newGate(testPolicy(slots))
 
 	var group conc.WaitGroup
 
@@ -37,7 +37,7 @@
 	return g, func() { stop(); group.Wait() }
 }
 
-func deadline() time.Time { return time.Now().Add(2 * time.Second) }
+func testDeadline() time.Time { return time.Now().Add(2 * time.Second) }
 
 func TestGate(t *testing.T) {
 	// Guards against more requests at a backend server than it has slots, and
@@ -55,36 +55,36 @@
 					ctx, cancel := context.WithTimeout(t.Context(), time.Duration(i)*20*time.Millisecond)
 					defer cancel()
 
-					granted, _ := g.enter(ctx, alert.Name, deadline())
+					granted, _ := g.acquire(ctx, alert.Name, testDeadline())
 					if granted == nil {
 						return
 					}
 
 					is.True(g.occupancy(t.Context()).running <= 2) // slots are never exceeded
 					time.Sleep(30 * time.Millisecond)
-					granted.close(admission.Completed)
+					granted.release(admission.Completed)
 				})
 			}
 
 			group.Wait()
-			is.Equal(g.occupancy(t.Context()), occupancy{}) // every slot came back
+			is.Equal(g.occupancy(t.Context()), occupancy{}) // every slot was released
 		})
 	})
 
-	// Guards against a stop that never ends: an answer that is closed, or a view
-	// that arrives, after the gate has ended waited for it for ever.
+	// Guards against a shutdown that never finishes: closing an answer or applying
+	// a view after the gate had stopped used to wait for the gate forever.
 	t.Run("after the end", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			g, stop := startGate(1)
-			granted, _ := g.enter(t.Context(), alert.Name, deadline())
+			granted, _ := g.acquire(t.Context(), alert.Name, testDeadline())
 			is.True(granted != nil)
 			stop()
 
-			granted.close(admission.Completed)
-			g.reconfigure(t.Context(), policy(1))
+			granted.release(admission.Completed)
+			g.reconfigure(t.Context(), testPolicy(1))
 
-			_, reason := g.enter(t.Context(), alert.Name, deadline())
+			_, reason := g.acquire(t.Context(), alert.Name, testDeadline())
 			is.Equal(reason, admission.ReasonCancelled)
 		})
 	})
--- a/internal/program/agent/handler.go
+++ b/internal/program/agent/handler.go
@@ -40,16 +40,16 @@
 	ctx, span := startRequest(ctx, h.tracer, class.Name)
 	defer span.End()
 
-	// A caller that sends its body slowly holds memory, so it gets the deadline
-	// of the class to send it.
+	// A body that arrives slowly occupies memory, so it has to arrive within the
+	// deadline of the class.
 	if err := http.NewResponseController(response).SetReadDeadline(time.Now().Add(class.Deadline)); err != nil {
-		h.logger.Debug("no limit on the time of a body", "error", err)
+		h.logger.Debug("could not set the read deadline of the body", "error", err)
 	}
 
 	c, err := newCall(request, *class, time.Now())
 	if err != nil {
 		span.SetAttributes(attribute.String("reason", err.Error()))
-		refusals.Add(string(causeCaller), 1)
+		refusals.Add(string(causeMalformedRequest), 1)
 		refuse(response, http.StatusBadRequest, err.Error())
 
 		return
@@ -63,11 +63,11 @@
 		return
 	}
 
-	h.answer(ctx, response, c)
+	h.serveRequest(ctx, response, c)
 }
 
-// answer runs a request that is not a feed and writes what became of it.
-func (h *handler) answer(ctx context.Context, response http.ResponseWriter, c *call) {
+// serveRequest runs a request that is not a feed and writes its outcome.
+func (h *handler) serveRequest(ctx context.Context, response http.ResponseWriter, c *call) {
 	var outcome *result
 
 	if c.class.Idempotent {
@@ -104,8 +104,8 @@
 	http.Error(response, "not run: "+reason, status)
 }
 
-// write copies an answer to the caller. An answer that breaks off resets the
-// stream, so that the caller does not take a part for the whole.
+// write copies an answer to the caller. If the answer is truncated, it resets
+// the stream, so that the caller does not take the answer for a complete one.
 func (h *handler) write(ctx context.Context, response http.ResponseWriter, outcome *result) {
 	defer outcome.body.Close()
 
@@ -116,7 +116,7 @@
 	response.WriteHeader(outcome.status)
 
 	if _, err := io.Copy(response, outcome.body); err != nil && ctx.Err() == nil {
-		h.logger.Warn("answer broken off", "error", errors.Cause(err))
+		h.logger.Warn("answer truncated", "error", errors.Cause(err))
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/program/agent/handover_test.go
+++ b/internal/program/agent/handover_test.go
@@ -20,17 +20,17 @@
 )
 
 // newLocal returns a local runner with one slot for a backend server.
-func newLocal(t *testing.T, address string) *local {
+func newLocal(t *testing.T, address string) *localRunner {
 	t.Helper()
 
 	g, stop := startGate(1)
 	t.Cleanup(stop)
 
-	return &local{gate: g, backend: newBackendServer(netip.MustParseAddrPort(address), "", 0)}
+	return &localRunner{gate: g, backend: newBackendServer(netip.MustParseAddrPort(address), "", 0)}
 }
 
 func newTestCall(class view.Class, method string) *call {
-	c := &call{class: class, method: method, target: "/x", header: http.Header{}, deadline: deadline()}
+	c := &call{class: class, method: method, target: "/x", header: http.Header{}, deadline: testDeadline()}
 	if !class.Idempotent {
 		c.key = "k"
 	}
@@ -47,12 +47,12 @@
 	}
 }
 
-func assertIdle(t *testing.T, l *local) {
+func assertIdle(t *testing.T, l *localRunner) {
 	t.Helper()
 	is.New(t).Equal(l.gate.occupancy(t.Context()), occupancy{})
 }
 
-// serveRaw passes accepted connections to a handler, with their number.
+// serveRaw passes each accepted connection to a handler, with its number.
 func serveRaw(t *testing.T, handle func(number int, listener net.Listener, connection net.Conn)) string {
 	t.Helper()
 
@@ -76,8 +76,8 @@
 	return listener.Addr().String()
 }
 
-// Guards against a request that is refused with "not run" although it ran, and
-// against one that is given up as unknown although no byte of it was sent.
+// Guards against a request that is reported as "not run" although it ran, and
+// against one that is reported as unknown although none of it was sent.
 func TestHandOver(t *testing.T) {
 	t.Run("refused", func(t *testing.T) {
 		l := newLocal(t, "127.0.0.1:1")
@@ -105,7 +105,7 @@
 		assertIdle(t, l)
 	})
 
-	// The transport repeats a GET whose kept connection breaks. The second
+	// The transport retries a GET whose reused connection breaks. The second
 	// connection is refused, which says nothing about the first.
 	t.Run("cut on a kept connection, then refused", func(t *testing.T) {
 		l := newLocal(t, serveRaw(t, func(_ int, listener net.Listener, connection net.Conn) {
@@ -129,13 +129,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 
-		_, ran, err := l.backend.send(ctx, newTestCall(report, "POST")) //nolint:bodyclose // the call fails
-		is.New(t).True(err != nil && !ran)
+		_, mayHaveRun, err := l.backend.send(ctx, newTestCall(report, "POST")) //nolint:bodyclose // the call fails
+		is.New(t).True(err != nil && !mayHaveRun)
 	})
 }
 
-// Guards against a backend server that accepts requests and stays silent: it
-// must not keep a slot or a feed's connection longer than the deadline.
+// Guards against a backend server that accepts requests and never answers: it
+// must not occupy a slot or a feed connection past the deadline.
 func TestSilentBackend(t *testing.T) {
 	for _, class := range []view.Class{alert, report, feed} {
 		t.Run(class.Name, func(t *testing.T) {
@@ -148,9 +148,9 @@
 	}
 }
 
-// deafen makes the system drop everything that arrives for one connection, as
-// a device does that has lost the state of the flow.
-func deafen(t *testing.T, connection net.Conn) {
+// dropIncoming makes the kernel drop everything that arrives for one connection,
+// like a network device that has lost the state of the flow.
+func dropIncoming(t *testing.T, connection net.Conn) {
 	t.Helper()
 
 	raw, err := connection.(*net.TCPConn).SyscallConn()
@@ -165,13 +165,13 @@
 	is.New(t).NoErr(err)
 }
 
-// Guards against a connection to the backend server that goes silent for good
-// while new ones work.
+// Guards against requests and feeds that hang on a connection to the backend
+// server that has become unresponsive while new connections work.
 func TestSilentConnection(t *testing.T) {
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-	// A quiet feed notices it by keep-alives. Its deadline has passed when it
-	// has started, so nothing else can end it.
+	// A feed without events detects it by keep-alives. The deadline of a feed no
+	// longer applies once it has started, so nothing else can end it.
 	t.Run("feed", func(t *testing.T) {
 		t.Parallel()
 
@@ -179,17 +179,17 @@
 		l := newLocal(t, serveRaw(t, func(_ int, _ net.Listener, connection net.Conn) {
 			http.ReadRequest(bufio.NewReader(connection))
 			io.WriteString(connection, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart")
-			deafen(t, connection)
+			dropIncoming(t, connection)
 		}))
 		outcome := l.run(t.Context(), newTestCall(feed, "GET"))
 		_, err := io.ReadAll(outcome.body)
-		is.True(err != nil) // a cut answer is not taken for a whole one
+		is.True(err != nil) // a truncated answer is not taken for a complete one
 		outcome.body.Close()
 		assertIdle(t, l)
 	})
 
-	// A request on a kept connection is answered on a new one, long before its
-	// deadline.
+	// A request on an unresponsive reused connection is answered on a new one,
+	// long before its deadline.
 	t.Run("request", func(t *testing.T) {
 		t.Parallel()
 
@@ -198,7 +198,7 @@
 			io.WriteString(connection, answer)
 
 			if number == 1 {
-				deafen(t, connection)
+				dropIncoming(t, connection)
 			}
 		}))
 		c := newTestCall(alert, "GET")
--- a/internal/program/agent/local.go
+++ b/internal/program/agent/local.go
@@ -13,7 +13,7 @@
 	"jayspindle/internal/protocol/peer"
 )
 
-// result is what became of a call. The body of an answer must be closed.
+// result is the outcome of a call. The body of an answer must be closed.
 type result struct {
 	state  peer.State
 	cause  cause
@@ -23,39 +23,39 @@
 	body   io.ReadCloser
 }
 
-func notRun(why cause, reason string) *result {
-	return &result{state: peer.NotRun, cause: why, reason: reason}
+func notRun(counterKey cause, reason string) *result {
+	return &result{state: peer.NotRun, cause: counterKey, reason: reason}
 }
 
-func unknown(why cause, reason string) *result {
-	return &result{state: peer.Unknown, cause: why, reason: reason}
+func unknown(counterKey cause, reason string) *result {
+	return &result{state: peer.Unknown, cause: counterKey, reason: reason}
 }
 
 func (r *result) mayHaveRun() bool { return r.state != peer.NotRun }
 
-// runner runs a call somewhere.
+// runner runs a call on the own backend server or on that of a sibling.
 type runner interface {
 	run(ctx context.Context, c *call) *result
 }
 
-// local runs calls on the agent's own backend server.
-type local struct {
+// localRunner runs calls on the agent's own backend server.
+type localRunner struct {
 	gate    *gate
 	backend *backendServer
 }
 
-// run waits for a slot and hands the call over. The slot is held until the
-// body of the answer is closed.
-func (l *local) run(ctx context.Context, c *call) *result {
+// run waits for a slot and sends the call to the backend server. The slot is
+// held until the body of the answer is closed.
+func (l *localRunner) run(ctx context.Context, c *call) *result {
 	if !l.backend.healthy.Load() {
 		return notRun(causeUnhealthy, string(causeUnhealthy))
 	}
 
 	// A feed has a deadline for its first byte only.
-	waiting, cancel := context.WithDeadline(ctx, c.startLimit())
+	waiting, cancel := context.WithDeadline(ctx, c.startDeadline())
 	defer cancel()
 
-	granted, reason := l.gate.enter(waiting, c.class.Name, c.deadline)
+	granted, reason := l.gate.acquire(waiting, c.class.Name, c.deadline)
 	if granted == nil {
 		return notRun(cause(reason), string(reason))
 	}
@@ -63,25 +63,25 @@
 	return l.handOver(ctx, c, granted)
 }
 
-// handOver sends the call to the backend server. The slot is freed even if a
-// panic passes through, which the HTTP server turns into a reset stream.
-func (l *local) handOver(ctx context.Context, c *call, granted *pass) *result {
-	handing, started, stop := handOverContext(ctx, c)
+// handOver sends the call to the backend server. The slot is freed even on a
+// panic, which the HTTP server turns into a reset stream.
+func (l *localRunner) handOver(ctx context.Context, c *call, granted *permit) *result {
+	backendCtx, started, stop := handOverContext(ctx, c)
 
-	held := false
+	bodyOwnsSlot := false
 
 	defer func() {
-		if !held {
+		if !bodyOwnsSlot {
 			stop()
-			granted.close(admission.Abandoned)
+			granted.release(admission.Abandoned)
 		}
 	}()
 
-	response, ran, err := l.backend.send(handing, c) //nolint:bodyclose // closed with the body of the result
+	response, ran, err := l.backend.send(backendCtx, c) //nolint:bodyclose // closed with the body of the result
 
 	switch {
 	case err != nil && ran:
-		return unknown(causeBroken, err.Error())
+		return unknown(causeNoResponse, err.Error())
 	case errors.Is(err, errShed):
 		return notRun(causeShed, err.Error())
 	case err != nil:
@@ -90,7 +90,7 @@
 
 	started()
 
-	held = true
+	bodyOwnsSlot = true
 
 	return &result{
 		state:  peer.Answered,
@@ -100,8 +100,9 @@
 	}
 }
 
-// handOverContext carries the deadline and the caller's cancellation to the
-// backend server. The deadline of a feed ends when the feed has started.
+// handOverContext derives the context of a call to a backend server from the
+// caller's context and the deadline. The deadline of a feed applies only until
+// the feed has started.
 func handOverContext(ctx context.Context, c *call) (_ context.Context, started, stop func()) {
 	if !c.class.Feed {
 		ctx, cancel := context.WithDeadline(ctx, c.deadline)
@@ -121,17 +122,17 @@
 // slotBody frees the slot when the body is closed.
 type slotBody struct {
 	io.ReadCloser
-	granted *pass
-	stop    context.CancelFunc
-	ended   bool // the whole body was read
-	once    sync.Once
+	granted  *permit
+	stop     context.CancelFunc
+	complete bool // the whole body was read
+	once     sync.Once
 }
 
-// Read reads the body and notes its end.
+// Read reads the body and records whether its end was reached.
 func (b *slotBody) Read(buffer []byte) (int, error) {
 	n, err := b.ReadCloser.Read(buffer)
 	if err == io.EOF {
-		b.ended = true
+		b.complete = true
 	}
 
 	return n, err
@@ -145,11 +146,11 @@
 		b.stop()
 
 		outcome := admission.Abandoned
-		if b.ended {
+		if b.complete {
 			outcome = admission.Completed
 		}
 
-		b.granted.close(outcome)
+		b.granted.release(outcome)
 	})
 
 	return err
--- a/internal/program/agent/owned.go
+++ b/internal/program/agent/owned.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// runOwned runs an event on the goroutine that owns some state and waits for
-// it. It reports false if the event has not run: the context ended first, or the
-// owner has stopped, which it also does when an event panics. Once the event is
-// in the queue, the end of the context does not matter any more: an event that
-// runs after runOwned has returned would change variables that its caller reads,
-// and would begin claims that nobody ends.
-func runOwned(
+// runOnOwner runs an event on the goroutine that owns some state and waits until
+// it has run. It reports false if the event has not run because the context ended
+// first or the owner has stopped, which it also does when an event panics. Once
+// the event is queued, the context is ignored: an event that ran after runOnOwner
+// returned would race with its caller on captured variables and could begin a
+// claim that is never ended.
+func runOnOwner(
 	ctx context.Context, events chan<- func(now time.Time), stopped <-chan struct{}, event func(now time.Time),
 ) bool {
 	done := make(chan struct{})
--- a/internal/program/agent/packetconn.go
+++ b/internal/program/agent/packetconn.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	maxDatagram  = 2048
-	socketBuffer = 4 << 20 // bytes
-	// maxCallers bounds the addresses that are kept, at about 150 bytes each.
-	maxCallers = 8192
+	maxDatagramBytes  = 2048
+	socketBufferBytes = 4 << 20 // bytes
+	// maxCachedCallers bounds the cached addresses, at about 150 bytes each.
+	maxCachedCallers = 8192
 )
 
-// packetConn is the packet connection of quic-go's transport. Datagrams come
+// packetConn is the packet connection of quic-go's transport. Datagrams arrive
 // from balancers with the caller's address in the header, and replies go back
 // through balancers.
 type packetConn struct {
 	*net.UDPConn
-	engine  *forward.Agent
-	logger  *slog.Logger
-	frames  sync.Pool // *[maxDatagram]byte
-	reading sync.Mutex
-	buffer  [maxDatagram]byte               // under reading
-	callers map[netip.AddrPort]*net.UDPAddr // under reading, so that most datagrams need no new address
+	engine      *forward.Agent
+	logger      *slog.Logger
+	frames      sync.Pool // *[maxDatagram]byte
+	readMutex   sync.Mutex
+	readBuffer  [maxDatagramBytes]byte          // under reading
+	callerAddrs map[netip.AddrPort]*net.UDPAddr // under reading, so that most datagrams need no new address
 }
 
 func newPacketConn(address netip.AddrPort, engine *forward.Agent, logger *slog.Logger) (*packetConn, error) {
@@ -42,13 +42,13 @@
 	}
 
 	// The kernel may grant less, which costs datagrams only under bursts.
-	_ = socket.SetReadBuffer(socketBuffer)
-	_ = socket.SetWriteBuffer(socketBuffer)
+	_ = socket.SetReadBuffer(socketBufferBytes)
+	_ = socket.SetWriteBuffer(socketBufferBytes)
 
 	return &packetConn{
 		UDPConn: socket, engine: engine, logger: logger,
-		frames:  sync.Pool{New: func() any { return new([maxDatagram]byte) }},
-		callers: make(map[netip.AddrPort]*net.UDPAddr),
+		frames:      sync.Pool{New: func() any { return new([maxDatagramBytes]byte) }},
+		callerAddrs: make(map[netip.AddrPort]*net.UDPAddr),
 	}, nil
 }
 
@@ -58,15 +58,15 @@
 // ReadFrom returns the payload of the next datagram for this incarnation and
 // the address of its caller.
 func (c *packetConn) ReadFrom(buffer []byte) (int, net.Addr, error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
+	c.readMutex.Lock()
+	defer c.readMutex.Unlock()
 
-	received := c.buffer[:]
+	received := c.readBuffer[:]
 
 	for {
 		n, from, err := c.ReadFromUDPAddrPort(received)
 		if err != nil {
-			return 0, nil, err // quic-go asks the error itself whether it is temporary
+			return 0, nil, err // unwrapped, since quic-go checks whether it is temporary
 		}
 
 		source := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
@@ -75,43 +75,43 @@
 		case forward.Deliver:
 			payload := received[datagram.HeaderLength:n]
 
-			return copy(buffer, payload), c.caller(decision.Header.Caller), nil
+			return copy(buffer, payload), c.callerAddr(decision.Header.Caller), nil
 		case forward.Answer:
-			c.answer(&decision.Header, decision.To)
+			c.sendNotice(&decision.Header, decision.To)
 		default:
 		}
 	}
 }
 
-// caller returns the address in the form that quic-go takes.
-func (c *packetConn) caller(address netip.AddrPort) *net.UDPAddr {
-	known, ok := c.callers[address]
+// callerAddr returns the address in the form that quic-go takes.
+func (c *packetConn) callerAddr(address netip.AddrPort) *net.UDPAddr {
+	cached, ok := c.callerAddrs[address]
 	if !ok {
-		if len(c.callers) >= maxCallers {
-			clear(c.callers)
+		if len(c.callerAddrs) >= maxCachedCallers {
+			clear(c.callerAddrs)
 		}
 
-		known = net.UDPAddrFromAddrPort(address)
-		c.callers[address] = known
+		cached = net.UDPAddrFromAddrPort(address)
+		c.callerAddrs[address] = cached
 	}
 
-	return known
+	return cached
 }
 
-// answer sends a header without payload, for example a stale notice.
-func (c *packetConn) answer(header *datagram.Header, to netip.AddrPort) {
+// sendNotice sends a header without payload, for example a stale notice.
+func (c *packetConn) sendNotice(header *datagram.Header, to netip.AddrPort) {
 	var notice [datagram.HeaderLength]byte
 
 	c.engine.Seal(notice[:], header)
 
 	if _, err := c.WriteToUDPAddrPort(notice[:], to); err != nil {
-		c.logger.Debug("notice not sent", "to", to.String(), "error", err)
+		c.logger.Debug("could not send the notice", "to", to.String(), "error", err)
 	}
 }
 
 // WriteTo sends a payload to a caller through a balancer. A datagram that
-// cannot be sent is lost like one on the network: QUIC sends its content again,
-// and the engine then selects another balancer.
+// cannot be sent is treated like one lost on the network: QUIC retransmits its
+// content, and the engine then selects another balancer.
 func (c *packetConn) WriteTo(payload []byte, caller net.Addr) (int, error) {
 	address, ok := caller.(*net.UDPAddr)
 	if !ok {
@@ -125,14 +125,14 @@
 		return len(payload), nil
 	}
 
-	framed := c.frames.Get().(*[maxDatagram]byte)
+	framed := c.frames.Get().(*[maxDatagramBytes]byte)
 	defer c.frames.Put(framed)
 
 	c.engine.Seal(framed[:], &header)
 	n := copy(framed[datagram.HeaderLength:], payload)
 
 	if _, err := c.WriteToUDPAddrPort(framed[:datagram.HeaderLength+n], balancer); err != nil {
-		c.logger.Debug("reply not sent", "balancer", balancer.String(), "error", err)
+		c.logger.Debug("could not send the reply", "balancer", balancer.String(), "error", err)
 	}
 
 	return len(payload), nil
--- a/internal/program/agent/packetconn_test.go
+++ b/internal/program/agent/packetconn_test.go
@@ -14,7 +14,7 @@
 )
 
 // Guards against allocations for each datagram, which cost more than the
-// forwarding itself, and against a payload that loses its caller's address.
+// forwarding itself, and against a payload that is delivered without its caller's address.
 func TestPacketConn(t *testing.T) {
 	is := is.New(t)
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
@@ -23,12 +23,12 @@
 
 	defer balancer.Close()
 
-	at := balancer.LocalAddr().(*net.UDPAddr).AddrPort()
+	balancerAddress := balancer.LocalAddr().(*net.UDPAddr).AddrPort()
 	keys := []view.Key{{ID: 1, Secret: [32]byte{1}}}
 	current := view.New(view.Contents{
 		Position: view.Position{Generation: 1, Index: 1}, Services: []view.Service{{ID: 1, Name: "s", Buckets: 64}},
 		Agents: agentsOf(1), Keys: keys,
-		Balancers: []view.Balancer{{Incarnation: 9, Data: at, State: view.Active}},
+		Balancers: []view.Balancer{{Incarnation: 9, Data: balancerAddress, State: view.Active}},
 	})
 	conn, err := newPacketConn(loopback, forward.NewAgent(1, 1), slog.New(slog.DiscardHandler))
 	is.NoErr(err)
--- a/internal/program/agent/placer.go
+++ b/internal/program/agent/placer.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// retryRatio lets retries add at most a tenth to the load.
+	// retryRatio limits the additional load by retries to a tenth.
 	retryRatio = 0.1
 	retryBurst = 20
 )
 
-// placer picks the backend server for each request and retries what is proven
-// not to have run or is idempotent.
+// placer picks the backend server for each request and retries requests that
+// are idempotent or are proven not to have run.
 type placer struct {
 	mutex  sync.Mutex // guards picker, budget, random and agents
 	picker *placement.Picker
@@ -32,10 +32,10 @@
 	random *rand.Rand
 	agents map[view.Incarnation]view.Agent
 
-	self    func() view.Incarnation
-	local   runner
-	sibling func(agent view.Agent) runner
-	tracer  trace.Tracer
+	self          func() view.Incarnation
+	local         runner
+	siblingRunner func(agent view.Agent) runner
+	tracer        trace.Tracer
 }
 
 func newPlacer(
@@ -43,14 +43,14 @@
 	tracer trace.Tracer,
 ) *placer {
 	return &placer{
-		picker:  placement.New(placement.DefaultPolicy(), random.Uint64()),
-		budget:  retry.New(retryRatio, retryBurst),
-		random:  random,
-		agents:  make(map[view.Incarnation]view.Agent),
-		self:    self,
-		local:   own,
-		sibling: sibling,
-		tracer:  tracer,
+		picker:        placement.New(placement.DefaultPolicy(), random.Uint64()),
+		budget:        retry.New(retryRatio, retryBurst),
+		random:        random,
+		agents:        make(map[view.Incarnation]view.Agent),
+		self:          self,
+		local:         own,
+		siblingRunner: sibling,
+		tracer:        tracer,
 	}
 }
 
@@ -75,50 +75,51 @@
 	p.mutex.Unlock()
 
 	var (
-		tried    []view.Incarnation
-		possible *result // of the first attempt that may have run
+		tried     []view.Incarnation
+		uncertain *result // of the latest attempt that may have run
 	)
 
 	for number := 1; ; number++ {
-		target, place, ok := p.pick(tried)
+		target, destination, ok := p.pick(tried)
 		if !ok {
-			return strongest(possible, notRun(causeNoBackend, "no backend server takes new work"))
+			return combineOutcomes(uncertain, notRun(causeNoBackend, "no backend server takes new work"))
 		}
 
 		tried = append(tried, target)
-		outcome := strongest(possible, p.attempt(ctx, c, target, place))
+		outcome := combineOutcomes(uncertain, p.attempt(ctx, c, target, destination))
 
 		if outcome.state == peer.Unknown {
-			possible = outcome
+			uncertain = outcome
 		}
 
-		if decision := p.decide(c, number, outcome); !decision.Retry || !pause(ctx, decision.After) {
+		if decision := p.decideRetry(c, number, outcome); !decision.Retry || !sleep(ctx, decision.After) {
 			return outcome
 		}
 	}
 }
 
-// strongest returns the outcome of a call from an earlier attempt that may have
-// run, or nil, and the last one.
-func strongest(possible, last *result) *result {
-	if possible != nil && last.state == peer.NotRun {
-		return possible
+// combineOutcomes combines the result of an earlier attempt that may have run, or
+// nil, with that of the last attempt: a call that may have run is never reported
+// as not run.
+func combineOutcomes(uncertain, last *result) *result {
+	if uncertain != nil && last.state == peer.NotRun {
+		return uncertain
 	}
 
 	return last
 }
 
-// placeNear runs a feed on the agent's own backend server if that takes it, and
-// elsewhere otherwise: a feed lasts so long that an extra hop costs more than
-// an even spread gains, and the spread of flows already evens out feeds.
-func (p *placer) placeNear(ctx context.Context, c *call) *result {
-	near := p.local.run(ctx, c)
+// placeLocalFirst runs a feed on the agent's own backend server if that accepts it,
+// and on another one otherwise. A feed lasts so long that an extra hop costs more
+// than an even distribution gains, and flows already distribute feeds evenly.
+func (p *placer) placeLocalFirst(ctx context.Context, c *call) *result {
+	localOutcome := p.local.run(ctx, c)
 
-	switch near.state {
+	switch localOutcome.state {
 	case peer.Answered:
-		return near
+		return localOutcome
 	case peer.Unknown:
-		return strongest(near, p.place(ctx, c))
+		return combineOutcomes(localOutcome, p.place(ctx, c))
 	default:
 		return p.place(ctx, c)
 	}
@@ -145,17 +146,17 @@
 		return target, p.local, true
 	}
 
-	return target, p.sibling(p.agents[target]), true
+	return target, p.siblingRunner(p.agents[target]), true
 }
 
-func (p *placer) attempt(ctx context.Context, c *call, target view.Incarnation, place runner) *result {
+func (p *placer) attempt(ctx context.Context, c *call, target view.Incarnation, destination runner) *result {
 	ctx, span := p.tracer.Start(ctx, "agent.attempt", trace.WithAttributes(
 		attribute.Int64("agent", int64(target)), attribute.Bool("sibling", target != p.self())))
 	defer span.End()
 
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(c.header))
 
-	outcome := place.run(ctx, c)
+	outcome := destination.run(ctx, c)
 	if target != p.self() {
 		redirections.Add(outcome.state.String(), 1)
 	}
@@ -163,42 +164,42 @@
 	span.SetAttributes(attribute.String("outcome", outcome.state.String()), attribute.String("reason", outcome.reason))
 
 	if outcome.state != peer.Answered {
-		p.observe(target, observed(ctx, outcome))
+		p.recordOutcome(target, placementOutcome(ctx, outcome))
 
 		return outcome
 	}
 
-	outcome.body = &observedBody{ReadCloser: outcome.body, ended: func(complete bool) {
-		seen := placement.Answered
+	outcome.body = &observedBody{ReadCloser: outcome.body, onClose: func(complete bool) {
+		finalOutcome := placement.Answered
 		if !complete {
-			seen = placement.Cancelled
+			finalOutcome = placement.Cancelled
 		}
 
-		p.observe(target, seen)
+		p.recordOutcome(target, finalOutcome)
 	}}
 
 	return outcome
 }
 
-func observed(ctx context.Context, outcome *result) placement.Outcome {
+func placementOutcome(ctx context.Context, outcome *result) placement.Outcome {
 	switch {
 	case ctx.Err() != nil:
 		return placement.Cancelled
-	case outcome.state == peer.NotRun && outcome.cause != causeSiblingGet:
+	case outcome.state == peer.NotRun && outcome.cause != causeSiblingUnreachable:
 		return placement.Refused
 	default:
 		return placement.Failed
 	}
 }
 
-func (p *placer) observe(target view.Incarnation, outcome placement.Outcome) {
+func (p *placer) recordOutcome(target view.Incarnation, outcome placement.Outcome) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
 	p.picker.Observe(time.Now(), target, outcome)
 }
 
-func (p *placer) decide(c *call, number int, outcome *result) retry.Decision {
+func (p *placer) decideRetry(c *call, number int, outcome *result) retry.Decision {
 	attempt := retry.Attempt{Number: number, Idempotent: c.class.Idempotent, Deadline: c.deadline}
 
 	switch outcome.state {
@@ -226,8 +227,8 @@
 	return decision
 }
 
-// pause waits before a retry and reports whether the caller still waits.
-func pause(ctx context.Context, duration time.Duration) bool {
+// sleep waits for the duration and reports false if the context ended first.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 
@@ -242,12 +243,12 @@
 // observedBody reports once whether the body was read to its end.
 type observedBody struct {
 	io.ReadCloser
-	ended    func(complete bool)
+	onClose  func(complete bool)
 	complete bool
 	once     sync.Once
 }
 
-// Read reads the body and notes its end.
+// Read reads the body and records whether its end was reached.
 func (b *observedBody) Read(buffer []byte) (int, error) {
 	n, err := b.ReadCloser.Read(buffer)
 	if err == io.EOF {
@@ -257,10 +258,10 @@
 	return n, err
 }
 
-// Close closes the body.
+// Close closes the body and reports once whether it was complete.
 func (b *observedBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.once.Do(func() { b.ended(b.complete) })
+	b.once.Do(func() { b.onClose(b.complete) })
 
 	return err
 }
--- a/internal/program/agent/placer_test.go
+++ b/internal/program/agent/placer_test.go
@@ -16,13 +16,13 @@
 	"jayspindle/internal/state/view"
 )
 
-// script is a runner that answers with one result after the other.
-type script struct {
+// scriptedRunner is a runner that returns the results in turn.
+type scriptedRunner struct {
 	results []*result
 	calls   int
 }
 
-func (s *script) run(context.Context, *call) *result {
+func (s *scriptedRunner) run(context.Context, *call) *result {
 	s.calls++
 
 	if s.calls > len(s.results) {
@@ -50,9 +50,9 @@
 	return agents
 }
 
-// newScripted returns a placer of agent 1 whose runners share the script.
-func newScripted(agents int, results ...*result) (*placer, *script) {
-	shared := &script{results: results}
+// newScripted returns a placer of agent 1 whose runners share the results.
+func newScripted(agents int, results ...*result) (*placer, *scriptedRunner) {
+	shared := &scriptedRunner{results: results}
 	p := newPlacer(func() view.Incarnation { return 1 }, shared, func(view.Agent) runner { return shared },
 		rand.New(rand.NewPCG(1, 2)), noop.NewTracerProvider().Tracer(""))
 	p.update(agentsOf(agents))
@@ -62,7 +62,7 @@
 
 func TestPlace(t *testing.T) {
 	refused := notRun(causeShed, "shed")
-	broken := unknown(causeBroken, "broken")
+	broken := unknown(causeNoResponse, "broken")
 
 	cases := map[string]struct {
 		class   view.Class
@@ -70,13 +70,13 @@
 		state   peer.State
 		calls   int
 	}{
-		// Guards against a second run of what may have run.
+		// Guards against a second run of a request that may have run.
 		"non-idempotent, broken": {report, []*result{broken, answered("")}, peer.Unknown, 1},
 		"non-idempotent, shed":   {report, []*result{refused, answered("")}, peer.Answered, 2},
 		"idempotent, broken":     {alert, []*result{broken, answered("")}, peer.Answered, 2},
 		// Guards against "not run" for a request whose earlier attempt may have run.
 		"idempotent, broken then shed": {alert, []*result{broken, refused, refused, refused}, peer.Unknown, 4},
-		// Guards against retries without a limit.
+		// Guards against unlimited retries.
 		"always shed": {alert, []*result{refused, refused, refused, refused, refused}, peer.NotRun, 4},
 	}
 	for name, test := range cases {
@@ -89,15 +89,16 @@
 		})
 	}
 
-	// Guards against "not run" for a feed that the own backend server may have seen.
+	// Guards against "not run" for a feed that the agent's own backend server may
+	// have received.
 	t.Run("near", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			p, _ := newScripted(3, broken, refused, refused, refused, refused)
-			assertState(t, p.placeNear(t.Context(), newTestCall(feed, "GET")), peer.Unknown)
+			assertState(t, p.placeLocalFirst(t.Context(), newTestCall(feed, "GET")), peer.Unknown)
 		})
 	})
 
-	// Guards against retries that multiply the load when everything refuses.
+	// Guards against retries that multiply the load when all attempts are refused.
 	t.Run("budget", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			p, shared := newScripted(3)
@@ -110,14 +111,14 @@
 	})
 }
 
-// Guards against an agent that, once suspended, takes no new work after it has
-// resumed, or that cuts its requests in progress meanwhile.
+// Guards against an agent that takes no new work after its suspension has ended,
+// or that aborts its requests in progress during the suspension.
 func TestSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p, _ := newScripted(3)
-		own, other := &script{}, &script{}
-		p.local, p.sibling = own, func(view.Agent) runner { return other }
+		own, other := &scriptedRunner{}, &scriptedRunner{}
+		p.local, p.siblingRunner = own, func(view.Agent) runner { return other }
 
 		for range 100 {
 			own.results = append(own.results, answered(""))
--- a/internal/program/agent/runonce.go
+++ b/internal/program/agent/runonce.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// claimPoll is the pause before a key is claimed again.
-	claimPoll = 100 * time.Millisecond
+	// claimRetryInterval is the delay before a key is claimed again.
+	claimRetryInterval = 100 * time.Millisecond
 	// recordTimeout bounds the wait until holders have recorded an answer. The
 	// caller gets the answer afterwards, so that a resend finds it.
 	recordTimeout = 250 * time.Millisecond
@@ -38,38 +38,38 @@
 		case claim.Run:
 			return c.execute(ctx, active, request, placer)
 		case claim.Replay:
-			return replay(decision)
+			return replayedResult(decision)
 		case claim.NotRun:
 			return notRun(causeClaim, string(decision.Reason))
 		case claim.InProgress:
-			if !pauseBefore(ctx, request.deadline) {
-				return inProgress()
+			if !waitToRetry(ctx, request.deadline) {
+				return inProgressResult()
 			}
 		default:
-			// An agent that has only started learns the past within moments.
-			if decision.Reason != claim.ReasonHistory || !pauseBefore(ctx, request.deadline) {
+			// An agent that has just started soon gets the history of its siblings.
+			if decision.Reason != claim.ReasonHistory || !waitToRetry(ctx, request.deadline) {
 				return unknown(causeClaim, string(decision.Reason))
 			}
 		}
 	}
 }
 
-// pauseBefore waits before another claim and reports false if the deadline is
-// too near or the caller gave up.
-func pauseBefore(ctx context.Context, deadline time.Time) bool {
-	return time.Until(deadline) > claimPoll && pause(ctx, claimPoll)
+// waitToRetry waits before another claim and reports false if the deadline is too
+// close or the caller gave up.
+func waitToRetry(ctx context.Context, deadline time.Time) bool {
+	return time.Until(deadline) > claimRetryInterval && sleep(ctx, claimRetryInterval)
 }
 
-// execute hands over a call that was claimed. It goes on when the caller gives
-// up: a resend then finds the answer.
+// execute sends a claimed call to a backend server. It continues after the caller
+// gives up, so that a resend finds the answer.
 func (c *claims) execute(ctx context.Context, active *activeClaim, request *call, placer *placer) *result {
 	ctx = context.WithoutCancel(ctx)
 
-	handed := false
+	mayStart := false
 
-	c.do(ctx, func(now time.Time) { handed = active.claimant.HandOver(now) })
+	c.do(ctx, func(now time.Time) { mayStart = active.claimant.HandOver(now) })
 
-	if !handed {
+	if !mayStart {
 		return notRun(causeClaim, "claimed too long ago")
 	}
 
@@ -92,19 +92,19 @@
 
 // record stores the answer with the holders, if it is small enough.
 func (c *claims) record(ctx context.Context, active *activeClaim, outcome *result) *result {
-	head, err := io.ReadAll(io.LimitReader(outcome.body, claim.MaxAnswer+1))
+	prefix, err := io.ReadAll(io.LimitReader(outcome.body, claim.MaxAnswer+1))
 	if err != nil {
 		_ = outcome.body.Close()
 
 		c.complete(ctx, active, claim.Answer{Unknown: true})
 
-		return unknown(causeBroken, "the answer broke off: "+err.Error())
+		return unknown(causeNoResponse, "the answer broke off: "+err.Error())
 	}
 
 	answer := claim.Answer{TooLarge: true}
 
-	if len(head) <= claim.MaxAnswer {
-		stored := storedAnswer{Status: outcome.status, Header: outcome.header, Body: head}
+	if len(prefix) <= claim.MaxAnswer {
+		stored := storedAnswer{Status: outcome.status, Header: outcome.header, Body: prefix}
 		if encoded, err := cbor.Marshal(stored); err == nil {
 			answer = claim.NewAnswer(encoded)
 		}
@@ -112,12 +112,13 @@
 
 	c.complete(ctx, active, answer)
 
-	outcome.body = &prefixedBody{Reader: io.MultiReader(bytes.NewReader(head), outcome.body), Closer: outcome.body}
+	outcome.body = &prefixedBody{Reader: io.MultiReader(bytes.NewReader(prefix), outcome.body), Closer: outcome.body}
 
 	return outcome
 }
 
-// complete tells the holders the outcome and waits for them for a short time.
+// complete sends the outcome to the holders and waits until they have recorded
+// it, for at most recordTimeout.
 func (c *claims) complete(ctx context.Context, active *activeClaim, answer claim.Answer) {
 	c.do(ctx, func(now time.Time) { active.claimant.Complete(now, answer) })
 
@@ -131,16 +132,16 @@
 	}
 }
 
-// prefixedBody is a body of which a part was read already.
+// prefixedBody is a body whose beginning has already been read.
 type prefixedBody struct {
 	io.Reader
 	io.Closer
 }
 
-// replay returns the stored answer of an earlier run.
-func replay(decision claim.Decision) *result {
+// replayedResult returns the stored answer of an earlier run.
+func replayedResult(decision claim.Decision) *result {
 	if decision.Answer.TooLarge {
-		return answer(http.StatusGone, http.Header{
+		return answeredResult(http.StatusGone, http.Header{
 			headerOutcome: {outcomeReplayed}, headerReason: {"the request has run, its answer was too large to keep"},
 		}, nil)
 	}
@@ -156,17 +157,17 @@
 
 	stored.Header.Set(headerOutcome, outcomeReplayed)
 
-	return answer(stored.Status, stored.Header, stored.Body)
+	return answeredResult(stored.Status, stored.Header, stored.Body)
 }
 
-// inProgress tells the caller that the first run has not ended yet.
-func inProgress() *result {
-	return answer(http.StatusConflict, http.Header{
+// inProgressResult tells the caller that the first run has not ended yet.
+func inProgressResult() *result {
+	return answeredResult(http.StatusConflict, http.Header{
 		headerReason: {"a request with this key is running"}, "Retry-After": {"1"},
 	}, nil)
 }
 
-func answer(status int, header http.Header, body []byte) *result {
+func answeredResult(status int, header http.Header, body []byte) *result {
 	return &result{
 		state:  peer.Answered,
 		status: status,
--- a/internal/program/agent/seats.go
+++ b/internal/program/agent/seats.go
@@ -19,29 +19,30 @@
 // The methods between agents of one service.
 const (
 	methodClaim    = "claim"          // claim.Request, claim.Reply
-	methodPast     = "claim-past"     // pastRequest, pastReply
-	methodTransfer = "claim-transfer" // transferPart, empty
-	methodMoved    = "claim-moved"    // movedSeat, empty
+	methodHistory  = "claim-past"     // historyRequest, historyReply
+	methodTransfer = "claim-transfer" // transferPart, emptyReply
+	methodMoved    = "claim-moved"    // movedSeat, emptyReply
 )
 
 const (
-	// partSize is the part of a transfer in one call, well below link.MaxFrame.
-	partSize = 1 << 20
-	// maxTransfer bounds a transfer: every claim at its largest size.
-	maxTransfer  = 512 << 20
-	pastTimeout  = time.Second
-	transferCall = 10 * time.Second
+	// transferPartBytes is the size of the parts of a transfer, well below
+	// link.MaxFrame.
+	transferPartBytes = 1 << 20
+	// maxTransferBytes bounds a transfer in which every claim has its largest size.
+	maxTransferBytes    = 512 << 20
+	announceMoveTimeout = time.Second
+	transferTimeout     = 10 * time.Second
 )
 
-// pastRequest asks a sibling for its history. One that has not claimed yet
-// promises not to begin under an older view than the sender's.
-type pastRequest struct {
+// historyRequest asks a sibling for its membership history. A sibling that has not
+// claimed yet must not start claiming under a view older than the sender's.
+type historyRequest struct {
 	Position view.Position `cbor:"1,keyasint"`
 }
 
-// pastReply is the history of an agent. An agent that has only started does
-// not know the past.
-type pastReply struct {
+// historyReply is the membership history of an agent. The history of an agent that
+// has just started is not complete.
+type historyReply struct {
 	Complete bool       `cbor:"1,keyasint"`
 	Past     claim.Past `cbor:"2,keyasint"`
 	// Established agents have run for long enough to have claimed, even if their
@@ -50,10 +51,10 @@
 }
 
 // Check reports the first field that is not allowed.
-func (p *pastReply) Check() error { return p.Past.Check() }
+func (p *historyReply) Check() error { return p.Past.Check() }
 
-// covers reports whether the reply leads up to the newest membership of own.
-func (p *pastReply) covers(own claim.Past) bool {
+// covers reports whether the reply reaches the newest membership of own.
+func (p *historyReply) covers(own claim.Past) bool {
 	if len(p.Past.Eras) == 0 || len(own.Eras) == 0 {
 		return false
 	}
@@ -63,10 +64,10 @@
 	return !theirs.Position.Less(newest.Position) || slices.Equal(theirs.Members, newest.Members)
 }
 
-// incoming is a transfer of which parts have arrived.
-type incoming struct {
-	bytes []byte
-	last  time.Time // of the newest part
+// incomingTransfer is a partly received transfer.
+type incomingTransfer struct {
+	bytes      []byte
+	lastPartAt time.Time // of the newest part
 }
 
 // transferPart is a part of the claims of a seat that moves.
@@ -77,50 +78,50 @@
 	Last   bool             `cbor:"4,keyasint"`
 }
 
-// movedSeat tells that another agent answers for the seat of a leaving one.
+// movedSeat announces that a successor answers for the seat of a leaving agent.
 type movedSeat struct {
 	Seat      view.Incarnation `cbor:"1,keyasint"`
 	Successor view.Incarnation `cbor:"2,keyasint"`
 }
 
-type empty struct{}
+type emptyReply struct{}
 
-func (c *claims) handlePast(ctx context.Context, request *link.Request) (any, error) {
+func (c *claims) handleHistory(ctx context.Context, request *link.Request) (any, error) {
 	if err := c.checkPeer(ctx); err != nil {
 		return nil, err
 	}
 
-	var asked pastRequest
+	var asked historyRequest
 	if err := request.Decode(&asked); err != nil {
 		return nil, err
 	}
 
-	return c.answerPast(ctx, asked), nil
+	return c.answerHistory(ctx, asked), nil
 }
 
-func (c *claims) answerPast(ctx context.Context, asked pastRequest) *pastReply {
-	var reply pastReply
+func (c *claims) answerHistory(ctx context.Context, asked historyRequest) *historyReply {
+	var reply historyReply
 
 	c.do(ctx, func(now time.Time) {
-		if c.promised.Less(asked.Position) {
-			c.promised = asked.Position
+		if c.newestSeenPosition.Less(asked.Position) {
+			c.newestSeenPosition = asked.Position
 		}
 
-		reply = pastReply{
-			Complete: c.history.Complete(now) && !c.gap, Past: c.history.Past(now), Established: c.established,
+		reply = historyReply{
+			Complete: c.history.Complete(now) && !c.historyGap, Past: c.history.Past(now), Established: c.established,
 		}
-		// The history goes on changing its map while the reply is encoded.
+		// The history may change its map while the reply is being encoded.
 		reply.Past.Moved = maps.Clone(reply.Past.Moved)
 	})
 
 	return &reply
 }
 
-// askPast asks all siblings which memberships there were. One with a complete
-// history is enough. If all of them answer and none has run for long, no claim
-// exists: the service has just started. If all have missed a part, as after an
-// outage of the controllers, what they know together is what there was.
-func (c *claims) askPast(ctx context.Context) {
+// queryHistory asks all siblings for their membership history. One complete
+// history is enough. If all of them answer and none is established, the service
+// has just started and no claim exists. If all have missed some memberships, as
+// after an outage of the controllers, their histories together are complete.
+func (c *claims) queryHistory(ctx context.Context) {
 	siblings := make([]view.Agent, 0, len(c.agents))
 
 	for incarnation, agent := range c.agents {
@@ -129,25 +130,25 @@
 		}
 	}
 
-	// The own view must contain the agent, or the others may not know of it.
+	// Unless the own view contains the agent, siblings may not know of it.
 	if _, ok := c.agents[c.self()]; !ok {
 		return
 	}
 
-	if c.asking {
+	if c.queryingHistory {
 		return
 	}
 
-	c.asking = true
+	c.queryingHistory = true
 	position := c.position
 
 	c.background.Go(func() {
-		defer c.post(ctx, func(time.Time) { c.asking = false })
+		defer c.post(ctx, func(time.Time) { c.queryingHistory = false })
 
-		replies := make([]pastReply, 0, len(siblings))
+		replies := make([]historyReply, 0, len(siblings))
 
 		for _, sibling := range siblings {
-			reply, err := c.pastOf(ctx, sibling, position)
+			reply, err := c.fetchHistory(ctx, sibling, position)
 			if err != nil {
 				continue
 			}
@@ -159,16 +160,18 @@
 			}
 		}
 
-		c.post(ctx, func(now time.Time) { c.learn(now, position, replies, len(replies) == len(siblings)) })
+		c.post(ctx, func(now time.Time) { c.mergeReplies(now, position, replies, len(replies) == len(siblings)) })
 	})
 }
 
-// learn takes the replies of siblings into account, which were asked while the
-// view at the position was in force.
-func (c *claims) learn(now time.Time, position view.Position, replies []pastReply, all bool) {
+// mergeReplies merges the replies of siblings into the history. The position is
+// that of the view under which the siblings were asked.
+func (c *claims) mergeReplies(now time.Time, position view.Position, replies []historyReply, all bool) {
 	own := c.history.Past(now)
-	complete := slices.ContainsFunc(replies, func(reply pastReply) bool { return reply.Complete && reply.covers(own) })
-	established := slices.ContainsFunc(replies, func(reply pastReply) bool { return reply.Complete || reply.Established })
+	complete := slices.ContainsFunc(replies, func(reply historyReply) bool { return reply.Complete && reply.covers(own) })
+	established := slices.ContainsFunc(replies, func(reply historyReply) bool {
+		return reply.Complete || reply.Established
+	})
 
 	for _, reply := range replies {
 		if reply.Complete || reply.Established {
@@ -176,36 +179,36 @@
 		}
 	}
 
-	if c.gap && (complete || all) {
-		c.gap = false
+	if c.historyGap && (complete || all) {
+		c.historyGap = false
 		c.confirm(now)
 	}
 
-	if all && !established && !c.established && c.founds(now, position) {
+	if all && !established && !c.established && c.canBootstrap(now, position) {
 		c.history.AssumeFirst(now)
 	}
 }
 
-// founds reports whether the agent may begin to claim for a new service, as far
-// as its own view tells: it is not older than what a sibling has told, and has
-// enough agents, or has had time to get them.
-func (c *claims) founds(now time.Time, position view.Position) bool {
-	if c.position != position || c.position.Less(c.promised) {
+// canBootstrap reports whether the own view allows the agent to start claiming for
+// a new service: the view is not older than any that a sibling has reported, and
+// it has enough agents, or bootstrapTimeout has passed.
+func (c *claims) canBootstrap(now time.Time, position view.Position) bool {
+	if c.position != position || c.position.Less(c.newestSeenPosition) {
 		return false
 	}
 
-	return c.history.Members() >= claim.Holders || now.Sub(c.seen) >= foundingTime
+	return c.history.Members() >= claim.Holders || now.Sub(c.firstAgentsAt) >= bootstrapTimeout
 }
 
-// pastOf bounds each call by itself: one silent sibling must not use up the
-// time for the others.
-func (c *claims) pastOf(ctx context.Context, sibling view.Agent, position view.Position) (pastReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, claimCall)
+// fetchHistory fetches the history of a sibling. Each call has its own timeout, so
+// that one unresponsive sibling does not use up the time for the others.
+func (c *claims) fetchHistory(ctx context.Context, sibling view.Agent, position view.Position) (historyReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, claimCallTimeout)
 	defer cancel()
 
-	var reply pastReply
+	var reply historyReply
 
-	err := c.sibling(sibling).Call(ctx, methodPast, &pastRequest{Position: position}, &reply)
+	err := c.siblingClient(sibling).Call(ctx, methodHistory, &historyRequest{Position: position}, &reply)
 
 	return reply, errors.Trace(err)
 }
@@ -234,19 +237,19 @@
 }
 
 // handOffSeat offers a seat to the successors in turn and returns the one that
-// took it over. Once one may have it, no other gets it.
+// took it over. Once one of them may have taken it over, no other is tried.
 func (c *claims) handOffSeat(
 	ctx context.Context, seat view.Incarnation, successors []view.Agent,
 ) (view.Incarnation, bool) {
 	for _, successor := range successors {
-		moved, err := c.moveSeat(ctx, seat, successor)
+		mayHaveMoved, err := c.moveSeat(ctx, seat, successor)
 		if err == nil {
 			return successor.Incarnation, true
 		}
 
-		c.logger.Warn("claims not handed off", "seat", seat, "successor", successor.Incarnation, "error", err)
+		c.logger.Warn("could not hand off claims", "seat", seat, "successor", successor.Incarnation, "error", err)
 
-		if moved {
+		if mayHaveMoved {
 			return 0, false
 		}
 	}
@@ -254,8 +257,9 @@
 	return 0, false
 }
 
-// announceMove tells all siblings who answers for the seat. One that misses it
-// counts it as a lost holder, which a majority of the others makes up for.
+// announceMove tells all siblings which agent answers for the seat. A sibling that
+// misses the message counts the seat as a lost holder, for which a majority of the
+// other holders compensates.
 func (c *claims) announceMove(ctx context.Context, moved movedSeat) {
 	var siblings []view.Agent
 
@@ -267,15 +271,15 @@
 		}
 	})
 
-	ctx, cancel := context.WithTimeout(ctx, pastTimeout)
+	ctx, cancel := context.WithTimeout(ctx, announceMoveTimeout)
 	defer cancel()
 
 	var group conc.WaitGroup
 
 	for _, sibling := range siblings {
 		group.Go(func() {
-			if err := c.sibling(sibling).Call(ctx, methodMoved, &moved, &empty{}); err != nil {
-				c.logger.Warn("sibling not told of moved claims", "sibling", sibling.Incarnation, "error", err)
+			if err := c.siblingClient(sibling).Call(ctx, methodMoved, &moved, &emptyReply{}); err != nil {
+				c.logger.Warn("could not notify the sibling of moved claims", "sibling", sibling.Incarnation, "error", err)
 			}
 		})
 	}
@@ -295,7 +299,7 @@
 
 	c.answerMoved(ctx, moved)
 
-	return &empty{}, nil
+	return &emptyReply{}, nil
 }
 
 func (c *claims) answerMoved(ctx context.Context, moved movedSeat) {
@@ -303,19 +307,19 @@
 }
 
 // successors returns the active siblings, those in the same availability zone
-// first, where the leaving agent counted too.
+// first: holders are counted by zone, and the leaving agent counted in that zone.
 func (c *claims) successors() []view.Agent {
-	found := make([]view.Agent, 0, len(c.agents))
+	candidates := make([]view.Agent, 0, len(c.agents))
 
 	for incarnation, agent := range c.agents {
 		if incarnation != c.self() && agent.State == view.Active {
-			found = append(found, agent)
+			candidates = append(candidates, agent)
 		}
 	}
 
-	slices.SortFunc(found, func(a, b view.Agent) int {
-		if near := a.Zone == c.zone; near != (b.Zone == c.zone) {
-			if near {
+	slices.SortFunc(candidates, func(a, b view.Agent) int {
+		if sameZone := a.Zone == c.zone; sameZone != (b.Zone == c.zone) {
+			if sameZone {
 				return -1
 			}
 
@@ -325,12 +329,15 @@
 		return cmp.Compare(a.Incarnation, b.Incarnation)
 	})
 
-	return found
+	return candidates
 }
 
-// moveSeat transfers the claims of a seat. With an error it reports whether the
-// successor may have taken the seat over; if not, the seat is here again.
-func (c *claims) moveSeat(ctx context.Context, seat view.Incarnation, successor view.Agent) (moved bool, err error) {
+// moveSeat transfers the claims of a seat. If it fails, mayHaveMoved reports
+// whether the successor may have taken the seat over; if not, the seat has been
+// restored.
+func (c *claims) moveSeat(
+	ctx context.Context, seat view.Incarnation, successor view.Agent,
+) (mayHaveMoved bool, err error) {
 	var transfer claim.Transfer
 
 	c.do(ctx, func(now time.Time) { transfer, err = c.store.Export(now, seat, successor.Incarnation) })
@@ -339,8 +346,8 @@
 		return false, errors.Trace(err)
 	}
 
-	if moved, err = c.sendSeat(ctx, transfer, successor); err == nil || moved {
-		return moved, err
+	if mayHaveMoved, err = c.sendSeat(ctx, transfer, successor); err == nil || mayHaveMoved {
+		return mayHaveMoved, err
 	}
 
 	cause := err
@@ -350,24 +357,27 @@
 	return err != nil, cause
 }
 
-// sendSeat sends a transfer in parts. The successor takes it over with the last.
-func (c *claims) sendSeat(ctx context.Context, transfer claim.Transfer, successor view.Agent) (moved bool, err error) {
+// sendSeat sends a transfer in parts. The successor takes the seat over with
+// the last part.
+func (c *claims) sendSeat(
+	ctx context.Context, transfer claim.Transfer, successor view.Agent,
+) (mayHaveMoved bool, err error) {
 	encoded, err := claim.Encode(transfer)
 	if err != nil {
 		return false, errors.Trace(err)
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, transferCall)
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 
-	client := c.sibling(successor)
+	client := c.siblingClient(successor)
 
-	for offset := 0; ; offset += partSize {
-		end := min(offset+partSize, len(encoded))
+	for offset := 0; ; offset += transferPartBytes {
+		end := min(offset+transferPartBytes, len(encoded))
 		part := transferPart{Seat: transfer.Seat, Offset: offset, Bytes: encoded[offset:end], Last: end == len(encoded)}
 
-		if err := client.Call(ctx, methodTransfer, &part, &empty{}); err != nil {
-			refused := link.KindOf(err) == link.KindInvalid || linkFailure(err).state == peer.NotRun
+		if err := client.Call(ctx, methodTransfer, &part, &emptyReply{}); err != nil {
+			refused := link.KindOf(err) == link.KindInvalid || linkErrorResult(err).state == peer.NotRun
 
 			return part.Last && !refused, errors.Trace(err)
 		}
@@ -391,7 +401,7 @@
 	return c.answerTransfer(ctx, part)
 }
 
-func (c *claims) answerTransfer(ctx context.Context, part transferPart) (*empty, error) {
+func (c *claims) answerTransfer(ctx context.Context, part transferPart) (*emptyReply, error) {
 	var err error
 
 	if !c.do(ctx, func(now time.Time) { err = c.receivePart(now, part) }) {
@@ -402,42 +412,43 @@
 		return nil, link.NewError(link.KindInvalid, err)
 	}
 
-	return &empty{}, nil
+	return &emptyReply{}, nil
 }
 
-// dropTransfers forgets transfers whose sender has given up.
+// dropTransfers drops transfers whose sender has timed out.
 func (c *claims) dropTransfers(now time.Time) {
-	maps.DeleteFunc(c.incoming, func(_ view.Incarnation, received *incoming) bool {
-		return now.Sub(received.last) > transferCall
+	maps.DeleteFunc(c.incomingTransfers, func(_ view.Incarnation, received *incomingTransfer) bool {
+		return now.Sub(received.lastPartAt) > transferTimeout
 	})
 }
 
-// receivePart collects the parts of a transfer in order and imports the whole.
+// receivePart collects the parts of a transfer in order and imports the transfer
+// after the last one.
 func (c *claims) receivePart(now time.Time, part transferPart) error {
 	if c.store == nil {
 		return errors.New("the agent has no incarnation yet")
 	}
 
-	received := c.incoming[part.Seat]
+	received := c.incomingTransfers[part.Seat]
 	if received == nil || part.Offset == 0 {
-		received = &incoming{}
-		c.incoming[part.Seat] = received
+		received = &incomingTransfer{}
+		c.incomingTransfers[part.Seat] = received
 	}
 
-	if part.Offset != len(received.bytes) || len(received.bytes)+len(part.Bytes) > maxTransfer {
-		delete(c.incoming, part.Seat)
+	if part.Offset != len(received.bytes) || len(received.bytes)+len(part.Bytes) > maxTransferBytes {
+		delete(c.incomingTransfers, part.Seat)
 
 		return errors.Errorf("part at %d does not follow %d bytes", part.Offset, len(received.bytes))
 	}
 
 	received.bytes = append(received.bytes, part.Bytes...)
-	received.last = now
+	received.lastPartAt = now
 
 	if !part.Last {
 		return nil
 	}
 
-	defer delete(c.incoming, part.Seat)
+	defer delete(c.incomingTransfers, part.Seat)
 
 	transfer, err := claim.DecodeTransfer(received.bytes)
 	if err != nil {
--- a/internal/program/agent/session.go
+++ b/internal/program/agent/session.go
@@ -12,12 +12,12 @@
 	"jayspindle/internal/program/telemetry"
 )
 
-// session is what a flow's context holds for its trace. quic-go fills it before
-// the flow is accepted.
+// session holds the trace data of a flow in the flow's context. It is filled
+// before quic-go accepts the flow.
 type session struct {
-	began time.Time
-	dcid  []byte // destination connection ID of the first packet
-	span  trace.SpanContext
+	began             time.Time
+	firstConnectionID []byte // destination connection ID of the first packet
+	span              trace.SpanContext
 }
 
 type sessionKey struct{}
@@ -33,32 +33,33 @@
 	return context.WithValue(ctx, sessionKey{}, &session{began: time.Now()}), nil
 }
 
-// noteFirst is the Tracer of the QUIC configuration. It traces nothing: it is
-// the only place where quic-go tells the first destination connection ID.
-func noteFirst(ctx context.Context, _ bool, dcid quic.ConnectionID) qlogwriter.Trace {
+// recordFirstConnectionID is the Tracer of the QUIC configuration. It traces
+// nothing: quic-go exposes the first destination connection ID only there.
+func recordFirstConnectionID(ctx context.Context, _ bool, dcid quic.ConnectionID) qlogwriter.Trace {
 	if found := sessionOf(ctx); found != nil {
-		found.dcid = dcid.Bytes()
+		found.firstConnectionID = dcid.Bytes()
 	}
 
 	return nil
 }
 
-// traceSession records the hop of the handshake. The span ends here, because a
-// flow stays open for a shift and a span is written at its end.
+// traceSession records the span of the handshake. The span ends with the handshake,
+// because a span is written only at its end and a flow stays open for a whole
+// work shift.
 func traceSession(ctx context.Context, tracer trace.Tracer, caller string) {
 	found := sessionOf(ctx)
 	if found == nil {
 		return
 	}
 
-	_, span := tracer.Start(telemetry.WithSession(ctx, found.dcid), "agent.session",
+	_, span := tracer.Start(telemetry.WithSession(ctx, found.firstConnectionID), "agent.session",
 		trace.WithTimestamp(found.began), trace.WithAttributes(attribute.String("caller", caller)))
 	found.span = span.SpanContext()
 	span.End()
 }
 
-// startRequest starts the span of a request. It follows the caller's trace with
-// a link to the session, or is a part of the session's trace.
+// startRequest starts the span of a request. The span belongs to the caller's
+// trace, with a link to the session, or else to the session's trace.
 func startRequest(ctx context.Context, tracer trace.Tracer, class string) (context.Context, trace.Span) {
 	options := []trace.SpanStartOption{trace.WithAttributes(attribute.String("class", class))}
 
--- a/internal/program/agent/sibling.go
+++ b/internal/program/agent/sibling.go
@@ -20,13 +20,13 @@
 	"jayspindle/internal/transport/link"
 )
 
-// siblingStart bounds the wait for a link to a sibling. A handshake takes a few
-// milliseconds; a sibling that was lost costs each request this much until it
-// is ejected or its lease ends.
-const siblingStart = 500 * time.Millisecond
+// siblingDialTimeout bounds the wait for a link to a sibling. A handshake takes a few
+// milliseconds; a sibling that has failed delays each request by this much
+// until it is ejected or its lease ends.
+const siblingDialTimeout = 500 * time.Millisecond
 
 // siblings holds the links to the other agents of the service, one for each
-// incarnation that was needed so far.
+// incarnation that has been called so far.
 type siblings struct {
 	identity    *identity.Store
 	environment string
@@ -84,19 +84,19 @@
 // close closes all links.
 func (s *siblings) close() { s.retain(nil) }
 
-// remote runs calls on the backend server of a sibling.
-type remote struct{ client *link.Client }
+// remoteRunner runs calls on the backend server of a sibling.
+type remoteRunner struct{ client *link.Client }
 
-// run sends the call and waits for the first frame. The deadline bounds it
-// here too, since a claimed call goes on when its caller has left.
-func (r *remote) run(ctx context.Context, c *call) *result {
+// run sends the call and waits for the first frame. It enforces the deadline
+// itself, since a claimed call continues after its caller has disconnected.
+func (r *remoteRunner) run(ctx context.Context, c *call) *result {
 	ctx, started, stop := handOverContext(ctx, c)
 
-	stream, failed := r.send(ctx, stop, c)
-	if failed != nil {
+	stream, failure := r.send(ctx, stop, c)
+	if failure != nil {
 		stop()
 
-		return failed
+		return failure
 	}
 
 	var first peer.Frame
@@ -104,7 +104,7 @@
 		stream.Close()
 		stop()
 
-		return linkFailure(err)
+		return linkErrorResult(err)
 	}
 
 	if first.State != peer.Answered {
@@ -124,9 +124,9 @@
 	}
 }
 
-// send opens the stream. A sibling that cannot be reached soon is given up, so
-// that there is time for another one: a link dials until its context ends.
-func (r *remote) send(ctx context.Context, stop func(), c *call) (*link.Stream, *result) {
+// send opens the stream. A link dials until its context ends, so send gives up
+// early on a sibling that it cannot reach, to leave time for another one.
+func (r *remoteRunner) send(ctx context.Context, stop func(), c *call) (*link.Stream, *result) {
 	message := &peer.Run{
 		Class:   c.class.Name,
 		Method:  c.method,
@@ -134,14 +134,14 @@
 		Header:  c.header,
 		Body:    c.body,
 		Timeout: time.Until(c.deadline),
-		Start:   time.Until(c.startLimit()),
+		Start:   time.Until(c.startDeadline()),
 		Key:     c.key,
 	}
 	if err := message.Check(); err != nil {
 		return nil, notRun(causeSibling, err.Error())
 	}
 
-	limit := time.AfterFunc(min(siblingStart, message.Start), stop)
+	limit := time.AfterFunc(min(siblingDialTimeout, message.Start), stop)
 	defer limit.Stop()
 
 	stream, err := r.client.Stream(ctx, peer.MethodRun, message)
@@ -150,22 +150,22 @@
 	}
 
 	if err != nil {
-		return nil, linkFailure(err)
+		return nil, linkErrorResult(err)
 	}
 
 	return stream, nil
 }
 
-// linkFailure tells failures that prove that the sibling did not get the
-// request from those that leave it open.
-func linkFailure(err error) *result {
+// linkErrorResult returns "not run" for errors that prove that the sibling did not
+// get the request, and "unknown" for all others.
+func linkErrorResult(err error) *result {
 	if err == nil {
 		return unknown(causeSibling, "the sibling ended the response early")
 	}
 
 	switch link.KindOf(err) {
 	case link.KindUnreachable:
-		return notRun(causeSiblingGet, err.Error())
+		return notRun(causeSiblingUnreachable, err.Error())
 	case link.KindClosing, link.KindMethod, link.KindBusy, link.KindRedirect, link.KindDenied:
 		return notRun(causeSibling, err.Error())
 	default:
@@ -177,12 +177,12 @@
 type streamBody struct {
 	stream *link.Stream
 	cancel func()
-	rest   []byte
+	unread []byte
 }
 
 // Read returns the next bytes of the body.
 func (b *streamBody) Read(buffer []byte) (int, error) {
-	for len(b.rest) == 0 {
+	for len(b.unread) == 0 {
 		var frame peer.Frame
 
 		more, err := b.stream.Next(&frame)
@@ -194,11 +194,11 @@
 			return 0, io.EOF
 		}
 
-		b.rest = frame.Body
+		b.unread = frame.Body
 	}
 
-	n := copy(buffer, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(buffer, b.unread)
+	b.unread = b.unread[n:]
 
 	return n, nil
 }
@@ -211,12 +211,12 @@
 	return nil
 }
 
-// peerServer answers the links of siblings.
+// peerServer serves the requests of siblings.
 type peerServer struct {
-	service string
-	local   *local
-	classes func(name string) (view.Class, bool)
-	tracer  trace.Tracer
+	service     string
+	local       *localRunner
+	classByName func(name string) (view.Class, bool)
+	tracer      trace.Tracer
 	// drained is closed when feeds must move to other agents.
 	drained <-chan struct{}
 }
@@ -232,7 +232,7 @@
 		return send(&peer.Frame{State: peer.NotRun, Reason: err.Error()})
 	}
 
-	class, ok := p.classes(message.Class)
+	class, ok := p.classByName(message.Class)
 	if !ok {
 		return send(&peer.Frame{State: peer.NotRun, Reason: "unknown class " + message.Class})
 	}
@@ -250,7 +250,7 @@
 	propagation.TraceContext{}.Inject(ctx, carrier)
 
 	if class.Feed {
-		// The sibling resumes the feed elsewhere after the last whole event.
+		// The sibling resumes the feed on another agent after the last complete event.
 		limited, cancel := context.WithCancel(ctx)
 		defer cancel()
 
