--- a/internal/program/agent/agent.go
+++ b/internal/program/agent/agent.go
@@ -72,7 +72,7 @@
 	matcher    atomic.Pointer[document.Matcher]
 	classes    atomic.Pointer[map[string]view.Class]
 	conn       atomic.Pointer[packetConn]
-	ids        atomic.Pointer[connid.Generator]
+	connIDs    atomic.Pointer[connid.Generator]
 	serviceID  atomic.Uint32
 	applyMutex sync.Mutex // held while fabric keys are installed
 }
@@ -230,7 +230,7 @@
 		return
 	}
 
-	a.ids.Load().SetKeys(keys)
+	a.connIDs.Load().SetKeys(keys)
 }
 
 // Run serves until the context ends, then drains.
@@ -274,7 +274,7 @@
 	return a.serve(ctx)
 }
 
-// errReplaced stops an agent that has been assigned a new incarnation: balancers
+// errReplaced stops an agent that has been assigned a new incarnation. Balancers
 // no longer send to the old one.
 var errReplaced = errors.New("the controllers have forgotten the agent, it must start anew")
 
@@ -331,10 +331,11 @@
 		return nil, nil, errors.Trace(err)
 	}
 
-	a.ids.Store(connid.NewGenerator(keys, service.ID, a.member.Incarnation()))
+	a.connIDs.Store(connid.NewGenerator(keys, service.ID, a.member.Incarnation()))
 	a.applyKeys(conn, current)
 	a.conn.Store(conn)
-	// A newer view may have arrived before the connection was stored.
+	// A newer view may have arrived before the connection was stored, so apply
+	// the newest one.
 	a.applyKeys(conn, a.member.View())
 
 	certificate, err := tls.LoadX509KeyPair(a.config.CallerTLS.Certificate, a.config.CallerTLS.Key)
@@ -347,7 +348,7 @@
 	token := quic.TokenGeneratorKey(keyring.Derive(newestKey, keyring.RetryToken, len(quic.TokenGeneratorKey{})))
 	transport := &quic.Transport{
 		Conn:                  quicConn{PacketConn: conn, buffers: conn},
-		ConnectionIDGenerator: a.ids.Load(),
+		ConnectionIDGenerator: a.connIDs.Load(),
 		ConnContext:           withSession,
 		StatelessResetKey:     &reset,
 		TokenGeneratorKey:     &token,
--- a/internal/program/agent/drain.go
+++ b/internal/program/agent/drain.go
@@ -63,7 +63,7 @@
 // waitDraining returns once the current view shows the agent as draining and
 // balancers have had time to apply that view, or after leaveTimeout.
 func (a *Agent) waitDraining(ctx context.Context) {
-	limit, cancel := context.WithTimeout(ctx, leaveTimeout)
+	limitedCtx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 
 	for {
@@ -72,12 +72,12 @@
 			break
 		}
 
-		if !sleep(limit, drainPollInterval) {
+		if !sleep(limitedCtx, drainPollInterval) {
 			return
 		}
 	}
 
-	sleep(limit, drainPropagationDelay)
+	sleep(limitedCtx, drainPropagationDelay)
 }
 
 // shutDown asks callers to open new flows and waits for their requests. Feeds
@@ -86,10 +86,10 @@
 	timer := time.AfterFunc(a.config.DrainTimeout, a.feeds.stop)
 	defer timer.Stop()
 
-	limit, cancel := context.WithTimeout(ctx, 2*a.config.DrainTimeout)
+	limitedCtx, cancel := context.WithTimeout(ctx, 2*a.config.DrainTimeout)
 	defer cancel()
 
-	if err := a.server.Shutdown(limit); err != nil {
+	if err := a.server.Shutdown(limitedCtx); err != nil {
 		a.logger.Error("drain timed out, closing the remaining flows", "error", err)
 	}
 }
@@ -97,16 +97,16 @@
 // waitIdle returns when neither callers nor siblings have a request at the
 // backend server, or after twice the drain timeout.
 func (a *Agent) waitIdle(ctx context.Context) {
-	limit, cancel := context.WithTimeout(ctx, 2*a.config.DrainTimeout)
+	limitedCtx, cancel := context.WithTimeout(ctx, 2*a.config.DrainTimeout)
 	defer cancel()
 
 	for {
-		current := a.gate.occupancy(limit)
+		current := a.gate.occupancy(limitedCtx)
 		if current.running == 0 && current.feeds == 0 && current.waiting == 0 {
 			return
 		}
 
-		if !sleep(limit, drainPollInterval) {
+		if !sleep(limitedCtx, drainPollInterval) {
 			return
 		}
 	}
--- a/internal/program/agent/feeds_test.go
+++ b/internal/program/agent/feeds_test.go
@@ -112,7 +112,7 @@
 	})
 
 	// Guards against a truncated answer to a refused feed that goes unnoticed.
-	t.Run("cut answer", func(t *testing.T) {
+	t.Run("truncated answer", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			refused := truncated("reas")
 			refused.status = http.StatusForbidden
--- a/internal/program/agent/gate_test.go
+++ b/internal/program/agent/gate_test.go
@@ -73,7 +73,7 @@
 
 	// Guards against a shutdown that never finishes: closing an answer or applying
 	// a view after the gate had stopped used to wait for the gate forever.
-	t.Run("after the end", func(t *testing.T) {
+	t.Run("after stop", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			g, stop := startGate(1)
--- a/internal/program/agent/local.go
+++ b/internal/program/agent/local.go
@@ -52,10 +52,10 @@
 	}
 
 	// A feed has a deadline for its first byte only.
-	waiting, cancel := context.WithDeadline(ctx, c.startDeadline())
+	waitCtx, cancel := context.WithDeadline(ctx, c.startDeadline())
 	defer cancel()
 
-	granted, reason := l.gate.acquire(waiting, c.class.Name, c.deadline)
+	granted, reason := l.gate.acquire(waitCtx, c.class.Name, c.deadline)
 	if granted == nil {
 		return notRun(cause(reason), string(reason))
 	}
@@ -77,10 +77,10 @@
 		}
 	}()
 
-	response, ran, err := l.backend.send(backendCtx, c) //nolint:bodyclose // closed with the body of the result
+	response, mayHaveRun, err := l.backend.send(backendCtx, c) //nolint:bodyclose // closed with the body of the result
 
 	switch {
-	case err != nil && ran:
+	case err != nil && mayHaveRun:
 		return unknown(causeNoResponse, err.Error())
 	case errors.Is(err, errShed):
 		return notRun(causeShed, err.Error())
@@ -111,10 +111,10 @@
 	}
 
 	ctx, cancel := context.WithCancelCause(ctx)
-	limit := time.AfterFunc(time.Until(c.deadline), func() { cancel(context.DeadlineExceeded) })
+	timer := time.AfterFunc(time.Until(c.deadline), func() { cancel(context.DeadlineExceeded) })
 
-	return ctx, func() { limit.Stop() }, func() {
-		limit.Stop()
+	return ctx, func() { timer.Stop() }, func() {
+		timer.Stop()
 		cancel(nil)
 	}
 }
--- a/internal/program/agent/packetconn.go
+++ b/internal/program/agent/packetconn.go
@@ -17,7 +17,7 @@
 
 const (
 	maxDatagramBytes  = 2048
-	socketBufferBytes = 4 << 20 // bytes
+	socketBufferBytes = 4 << 20
 	// maxCachedCallers bounds the cached addresses, at about 150 bytes each.
 	maxCachedCallers = 8192
 )
@@ -29,10 +29,10 @@
 	*net.UDPConn
 	engine      *forward.Agent
 	logger      *slog.Logger
-	frames      sync.Pool // *[maxDatagram]byte
+	framePool   sync.Pool // *[maxDatagramBytes]byte
 	readMutex   sync.Mutex
-	readBuffer  [maxDatagramBytes]byte          // under reading
-	callerAddrs map[netip.AddrPort]*net.UDPAddr // under reading, so that most datagrams need no new address
+	readBuffer  [maxDatagramBytes]byte          // guarded by readMutex
+	callerAddrs map[netip.AddrPort]*net.UDPAddr // guarded by readMutex, avoids an allocation for most datagrams
 }
 
 func newPacketConn(address netip.AddrPort, engine *forward.Agent, logger *slog.Logger) (*packetConn, error) {
@@ -47,7 +47,7 @@
 
 	return &packetConn{
 		UDPConn: socket, engine: engine, logger: logger,
-		frames:      sync.Pool{New: func() any { return new([maxDatagramBytes]byte) }},
+		framePool:   sync.Pool{New: func() any { return new([maxDatagramBytes]byte) }},
 		callerAddrs: make(map[netip.AddrPort]*net.UDPAddr),
 	}, nil
 }
@@ -125,8 +125,8 @@
 		return len(payload), nil
 	}
 
-	framed := c.frames.Get().(*[maxDatagramBytes]byte)
-	defer c.frames.Put(framed)
+	framed := c.framePool.Get().(*[maxDatagramBytes]byte)
+	defer c.framePool.Put(framed)
 
 	c.engine.Seal(framed[:], &header)
 	n := copy(framed[datagram.HeaderLength:], payload)
--- a/internal/program/agent/placer_test.go
+++ b/internal/program/agent/placer_test.go
@@ -91,7 +91,7 @@
 
 	// Guards against "not run" for a feed that the agent's own backend server may
 	// have received.
-	t.Run("near", func(t *testing.T) {
+	t.Run("local first", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			p, _ := newScripted(3, broken, refused, refused, refused, refused)
 			assertState(t, p.placeLocalFirst(t.Context(), newTestCall(feed, "GET")), peer.Unknown)
--- a/internal/program/agent/sibling.go
+++ b/internal/program/agent/sibling.go
@@ -30,7 +30,7 @@
 type siblings struct {
 	identity    *identity.Store
 	environment string
-	random      *rand.Rand // used under mutex
+	random      *rand.Rand // guarded by mutex
 	mutex       sync.Mutex
 	clients     map[view.Incarnation]*link.Client
 }
@@ -100,7 +100,7 @@
 	}
 
 	var first peer.Frame
-	if more, err := stream.Next(&first); err != nil || !more {
+	if ok, err := stream.Next(&first); err != nil || !ok {
 		stream.Close()
 		stop()
 
@@ -141,8 +141,8 @@
 		return nil, notRun(causeSibling, err.Error())
 	}
 
-	limit := time.AfterFunc(min(siblingDialTimeout, message.Start), stop)
-	defer limit.Stop()
+	dialTimer := time.AfterFunc(min(siblingDialTimeout, message.Start), stop)
+	defer dialTimer.Stop()
 
 	stream, err := r.client.Stream(ctx, peer.MethodRun, message)
 	if link.KindOf(err) == link.KindTooLarge {
