--- a/internal/program/controller/client.go
+++ b/internal/program/controller/client.go
@@ -8,9 +8,10 @@
 )
 
 // Client calls a controller group: the operator's commands and the membership
-// calls of instances. It follows redirects to the leader. All calls but
-// RotateKey are idempotent and are repeated when their outcome is unknown,
-// because a controller stopped or a path fell silent, until ctx ends.
+// calls of instances. It follows redirects to the leader. All calls except
+// RotateKey are idempotent. If their outcome is unknown, because the controller
+// stopped or the path no longer delivers packets, the client retries them until
+// ctx ends.
 type Client struct{ link *link.Client }
 
 // NewClient returns a client of the group at the other end of a link.
@@ -45,7 +46,7 @@
 	return call[control.ChangeReply](ctx, c, control.MethodSign, request)
 }
 
-// Reject ends the pending change without effect.
+// Reject rejects the pending change.
 func (c *Client) Reject(ctx context.Context, request control.Reject) (control.ChangeReply, error) {
 	return call[control.ChangeReply](ctx, c, control.MethodReject, request)
 }
@@ -55,7 +56,7 @@
 	return call[control.ChangeReply](ctx, c, control.MethodPromote, request)
 }
 
-// ReplaceOwner proposes another name or key of an owner.
+// ReplaceOwner proposes a new name or key for an owner.
 func (c *Client) ReplaceOwner(ctx context.Context, request control.ReplaceOwner) (control.ChangeReply, error) {
 	return call[control.ChangeReply](ctx, c, control.MethodReplaceOwner, request)
 }
@@ -64,16 +65,16 @@
 func (c *Client) Status(ctx context.Context, environment string) (control.StatusReply, error) {
 	request := control.Status{Environment: environment}
 
-	whole, err := call[control.StatusReply](ctx, c, control.MethodStatus, request)
+	reply, err := call[control.StatusReply](ctx, c, control.MethodStatus, request)
 
-	for page := whole; err == nil && len(page.Instances) == control.MaxInstances; {
+	for page := reply; err == nil && len(page.Instances) == control.MaxInstances; {
 		request.After = page.Instances[len(page.Instances)-1].Incarnation
 
 		page, err = call[control.StatusReply](ctx, c, control.MethodStatus, request)
-		whole.Instances = append(whole.Instances, page.Instances...)
+		reply.Instances = append(reply.Instances, page.Instances...)
 	}
 
-	return whole, err
+	return reply, err
 }
 
 // History lists the newest changes of an environment.
@@ -98,7 +99,7 @@
 	return c.members(ctx, control.MembersAdd, member)
 }
 
-// PromoteMember makes a learner that has caught up a voter.
+// PromoteMember promotes a learner that has caught up to a voter.
 func (c *Client) PromoteMember(ctx context.Context, replica uint64) (control.MembersReply, error) {
 	return c.members(ctx, control.MembersPromote, control.Member{Replica: replica})
 }
@@ -114,14 +115,14 @@
 	return call[control.MembersReply](ctx, c, control.MethodMembers, control.Members{Action: action, Member: member})
 }
 
-// RotateKey makes a new fabric key the newest. Rotation is the number of
-// rotations so far, from Status.
+// RotateKey adds a new fabric key. Rotation is the number of rotations so far,
+// as Status reports it.
 func (c *Client) RotateKey(ctx context.Context, environment string, rotation uint64) (control.RotateKeyReply, error) {
 	return callOnce[control.RotateKeyReply](ctx, c, control.MethodRotateKey,
 		control.RotateKey{Environment: environment, Rotation: rotation})
 }
 
-// Announce makes an instance known.
+// Announce registers an instance with the group.
 func (c *Client) Announce(ctx context.Context, request control.Announce) (control.AnnounceReply, error) {
 	return call[control.AnnounceReply](ctx, c, control.MethodAnnounce, request)
 }
@@ -131,7 +132,8 @@
 	return call[control.RenewReply](ctx, c, control.MethodRenew, request)
 }
 
-// Leave starts or ends the planned stop of an instance.
+// Leave reports that an instance is draining before a planned stop, or that it
+// has stopped.
 func (c *Client) Leave(ctx context.Context, request control.Leave) (control.LeaveReply, error) {
 	return call[control.LeaveReply](ctx, c, control.MethodLeave, request)
 }
--- a/internal/program/controller/controller.go
+++ b/internal/program/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller is the controller process: one replica of the control
-// plane. It replicates the catalog, keeps the leases while it leads, and
-// publishes views.
+// Package controller implements the controller process, one replica of the
+// control plane. It replicates the catalog, manages the leases while it is the
+// leader, and publishes views.
 //
 // # Usage
 //
@@ -13,18 +13,18 @@
 // # Structure
 //
 // One goroutine, the owner, holds the replicated log, the catalog and the
-// lease tables. Links feed it through one bounded channel of events and get a
-// typed answer. Commands and reads are answered by the leader only; every
-// other controller answers with a redirect. Subscribers are served from the
-// publishers without the owner.
+// lease tables. Link handlers send it events through one bounded channel and
+// wait for a typed reply. Only the leader answers commands and reads; every
+// other controller answers with a redirect. The publishers serve subscribers
+// without involving the owner.
 //
-// # Founding and joining
+// # Bootstrapping and joining
 //
-// A controller with a new data directory never guesses. With bootstrap set it
-// founds a group only after every configured peer has answered that it belongs
-// to no group. Without, it asks the group to add it as a learner, and to
-// promote it once it has caught up. A controller that lost its disk therefore
-// joins under a new replica identity, which replaces the one at its address.
+// A controller with a new data directory and bootstrap set creates a group only
+// after every configured peer has answered that it belongs to no group. Without
+// bootstrap it asks the group to add it as a learner, and to promote it once it
+// has caught up. A controller that lost its disk therefore joins under a new
+// replica identity, which replaces the one at its address.
 package controller
 
 import (
@@ -55,33 +55,35 @@
 	// LeaseTTL is the lifetime of a lease without renewal.
 	LeaseTTL = 3 * time.Second
 
-	// tickInterval drives the log, the leases and the publishers.
+	// tickInterval is the time between two ticks of the log, the leases and the
+	// publishers.
 	tickInterval = 50 * time.Millisecond
 
-	// inboxSize bounds the events that wait for the owner. A full inbox
-	// refuses calls with KindBusy.
+	// inboxSize is the maximum number of events that wait for the owner. While
+	// the inbox is full, calls except control.MethodReplicate fail with
+	// link.KindBusy.
 	inboxSize = 1024
 
-	// shutdownGrace bounds the wait for running calls and for the transfer of
-	// leadership.
-	shutdownGrace = 2 * time.Second
+	// shutdownTimeout limits the wait for running calls and, separately, for the
+	// transfer of leadership.
+	shutdownTimeout = 2 * time.Second
 )
 
 var environments = []string{catalog.Trial, catalog.Production}
 
 // Controller is one controller process.
 type Controller struct {
-	settings   Settings
-	logger     *slog.Logger
-	store      *identity.Store
-	server     *link.Server
-	log        *wal.Log     // used by the owner only
-	origin     wal.Identity // of the data directory at the start
-	inbox      chan event
-	publishers map[string]*rollout.Publisher
-	network    *network
-	random     *rand.Rand
-	leading    *atomic.Bool
+	settings        Settings
+	logger          *slog.Logger
+	store           *identity.Store
+	server          *link.Server
+	log             *wal.Log     // used by the owner only
+	initialIdentity wal.Identity // of the data directory when it was opened
+	inbox           chan event
+	publishers      map[string]*rollout.Publisher
+	network         *network
+	random          *rand.Rand
+	leading         *atomic.Bool
 }
 
 // New opens the data directory and binds the listen address. The controller
@@ -111,24 +113,24 @@
 	}
 
 	controller := &Controller{
-		settings:   settings,
-		logger:     logger,
-		store:      store,
-		server:     server,
-		log:        log,
-		origin:     log.Identity(),
-		inbox:      make(chan event, inboxSize),
-		publishers: make(map[string]*rollout.Publisher),
-		network:    newNetwork(store, random, logger),
-		random:     random,
-		leading:    new(atomic.Bool),
+		settings:        settings,
+		logger:          logger,
+		store:           store,
+		server:          server,
+		log:             log,
+		initialIdentity: log.Identity(),
+		inbox:           make(chan event, inboxSize),
+		publishers:      make(map[string]*rollout.Publisher),
+		network:         newNetwork(store, random, logger),
+		random:          random,
+		leading:         new(atomic.Bool),
 	}
 
 	for _, environment := range environments {
 		controller.publishers[environment] = rollout.New(environment)
 	}
 
-	controller.register()
+	controller.registerMethods()
 
 	return controller, nil
 }
@@ -145,78 +147,79 @@
 	return c.publishers[environment]
 }
 
-// Run runs the controller until ctx ends or the log cannot continue. It hands
-// leadership to another controller before it stops.
+// Run runs the controller until ctx ends or the log cannot continue. When ctx
+// ends, a leader transfers its leadership before it stops.
 func (c *Controller) Run(ctx context.Context) error {
 	owner, err := c.newOwner()
 	if err != nil {
-		c.log.Close() //nolint:errcheck // the first error counts
+		c.log.Close() //nolint:errcheck // the first error is returned
 
 		return err
 	}
 
-	// Links, and then the owner, go on while the controller hands over.
-	serving, stopServing := context.WithCancelCause(context.WithoutCancel(ctx))
-	owning, stopOwning := context.WithCancel(context.WithoutCancel(ctx))
+	// The links and the owner keep running while leadership is transferred. The
+	// links stop first, then the owner.
+	serveCtx, stopServing := context.WithCancelCause(context.WithoutCancel(ctx))
+	ownerCtx, stopOwner := context.WithCancel(context.WithoutCancel(ctx))
 
-	defer stopOwning()
+	defer stopOwner()
 
 	var (
-		parts   = group.New(stopServing)
-		owners  conc.WaitGroup
-		closing error
+		goroutines = group.New(stopServing)
+		ownerGroup conc.WaitGroup
+		closeErr   error
 	)
 
-	// A panic, such as a violated invariant, stops the controller too; waiting
-	// for the goroutine raises it again.
-	owners.Go(func() {
+	// A panic in the owner, such as a violated invariant, also stops the
+	// controller. ownerGroup.Wait raises it again.
+	ownerGroup.Go(func() {
 		defer stopServing(nil)
 
-		if err := owner.run(owning); err != nil {
+		if err := owner.run(ownerCtx); err != nil {
 			stopServing(err)
 		}
 	})
-	parts.Go(func() {
+	goroutines.Go(func() {
 		defer stopServing(nil)
 
-		closing = c.server.Serve(serving, shutdownGrace)
+		closeErr = c.server.Serve(serveCtx, shutdownTimeout)
 	})
-	parts.Go(func() { c.enter(serving, owner, stopServing) })
-	parts.Go(func() { c.followReads(serving) })
-	parts.Go(func() { c.serveDebug(serving) })
+	goroutines.Go(func() { c.bootstrapOrJoin(serveCtx, owner, stopServing) })
+	goroutines.Go(func() { c.confirmViews(serveCtx) })
+	goroutines.Go(func() { c.serveDebug(serveCtx) })
 
 	select {
 	case <-ctx.Done():
-		c.handOver(owning)
-	case <-serving.Done():
+		c.transferLeadership(ownerCtx)
+	case <-serveCtx.Done():
 	}
 
 	stopServing(nil)
-	parts.Wait()
-	stopOwning()
+	goroutines.Wait()
+	stopOwner()
 	c.network.close()
-	owners.Wait()
+	ownerGroup.Wait()
 
-	if err := c.log.Close(); err != nil && closing == nil {
-		closing = newError("close", KindStorage, err)
+	if err := c.log.Close(); err != nil && closeErr == nil {
+		closeErr = newError("close", KindStorage, err)
 	}
 
-	if cause := context.Cause(serving); !errors.Is(cause, context.Canceled) {
+	if cause := context.Cause(serveCtx); !errors.Is(cause, context.Canceled) {
 		return cause
 	}
 
-	return closing
+	return closeErr
 }
 
-// handOver transfers leadership and waits until the transfer has ended.
-func (c *Controller) handOver(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, shutdownGrace)
+// transferLeadership transfers leadership and waits until the transfer has ended.
+func (c *Controller) transferLeadership(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 
 	done := make(chan struct{})
 
 	select {
-	case c.inbox <- &handOver{done: done}:
+	case c.inbox <- &transferLeadership{done: done}:
 	case <-ctx.Done():
 		return
 	}
@@ -224,34 +227,34 @@
 	select {
 	case <-done:
 	case <-ctx.Done():
-		c.logger.Warn("no other controller took over the leadership in time")
+		c.logger.Warn("leadership was not transferred before the timeout")
 	}
 }
 
 func (c *Controller) newOwner() (*owner, error) {
 	owner := &owner{
-		name:         c.settings.Name,
-		address:      c.server.Address(),
-		founding:     c.settings.Bootstrap,
-		published:    c.leading,
-		captureEvery: cmp.Or(c.settings.SnapshotEntries, defaultSnapshotEntries),
-		logger:       c.logger,
-		log:          c.log,
-		random:       rand.New(rand.NewPCG(c.random.Uint64(), c.random.Uint64())),
-		state:        &catalog.Catalog{},
-		leases:       make(map[string]*lease.Table),
-		publishers:   c.publishers,
-		network:      c.network,
-		inbox:        c.inbox,
-		proposals:    make(map[uint64]*proposal),
-		reads:        make(map[uint64]*readIndex),
+		name:               c.settings.Name,
+		address:            c.server.Address(),
+		founding:           c.settings.Bootstrap,
+		leadingFlag:        c.leading,
+		entriesPerSnapshot: cmp.Or(c.settings.SnapshotEntries, defaultSnapshotEntries),
+		logger:             c.logger,
+		log:                c.log,
+		random:             rand.New(rand.NewPCG(c.random.Uint64(), c.random.Uint64())),
+		state:              &catalog.Catalog{},
+		leases:             make(map[string]*lease.Table),
+		publishers:         c.publishers,
+		network:            c.network,
+		inbox:              c.inbox,
+		proposals:          make(map[uint64]*proposal),
+		reads:              make(map[uint64]*readIndex),
 	}
 
 	for _, environment := range environments {
 		owner.leases[environment] = lease.New(LeaseTTL)
 	}
 
-	if c.origin.Cluster == 0 {
+	if c.initialIdentity.Cluster == 0 {
 		return owner, nil
 	}
 
@@ -271,11 +274,11 @@
 	defer context.AfterFunc(ctx, func() { server.Close() })() //nolint:errcheck // the process stops
 
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
-		c.logger.Warn("the debug address cannot be served", "error", err)
+		c.logger.Warn("could not serve the debug address", "error", err)
 	}
 }
 
-// redirect returns the error that sends a caller to the leader.
+// redirect returns an error that redirects the caller to the leader.
 func redirect(leader raft.ReplicaID, network *network) error {
 	address, _ := network.address(leader)
 
--- a/internal/program/controller/controller_test.go
+++ b/internal/program/controller/controller_test.go
@@ -21,26 +21,26 @@
 	"jayspindle/internal/transport/link"
 )
 
-// sink keeps the newest view of a subscriber.
-type sink struct{ current atomic.Pointer[view.View] }
+// viewRecorder is a sink that stores the newest view of a subscriber.
+type viewRecorder struct{ current atomic.Pointer[view.View] }
 
-func (s *sink) Apply(_ time.Time, next *view.View) { s.current.Store(next) }
-func (s *sink) Confirm(time.Time)                  {}
+func (r *viewRecorder) Apply(_ time.Time, next *view.View) { r.current.Store(next) }
+func (r *viewRecorder) Confirm(time.Time)                  {}
 
-func (s *sink) version() uint64 {
-	if current := s.current.Load(); current != nil {
+func (r *viewRecorder) version() uint64 {
+	if current := r.current.Load(); current != nil {
 		return current.Version()
 	}
 
 	return 0
 }
 
-// subscribe follows the trial views of one controller.
-func (g *fleet) subscribe(target *instance) *sink {
+// subscribe subscribes to the trial views of one controller.
+func (g *testGroup) subscribe(target *instance) *viewRecorder {
 	g.t.Helper()
 
 	client := g.client(identity.Identity{Role: identity.RoleBalancer, Environment: "trial", Name: "b"}, target)
-	kept := &sink{}
+	recorder := &viewRecorder{}
 	follower := rollout.NewFollower(catalog.Trial, nil)
 	ctx, cancel := context.WithCancel(g.ctx)
 	done := make(chan struct{})
@@ -48,38 +48,38 @@
 	go func() {
 		defer close(done)
 
-		rollout.Subscribe(ctx, []rollout.Upstream{rollout.FromClient(client.link)}, follower, kept,
+		rollout.Subscribe(ctx, []rollout.Upstream{rollout.FromClient(client.link)}, follower, recorder,
 			rand.New(rand.NewPCG(3, 3)))
 	}()
 	g.t.Cleanup(func() { cancel(); <-done })
 
-	return kept
+	return recorder
 }
 
-// Guards against an accepted change that subscribers of a follower don't get,
-// and one that is lost or repeated when the leader stops.
+// Guards against an accepted change that does not reach the subscribers of a
+// follower, and against one that is lost or applied twice when the leader stops.
 func TestChangeSurvivesLeader(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 3)
 	operator := g.operator()
-	first := documentOf(g.owners["ann"].PublicKey(), 3)
+	first := newDocument(g.owners["ann"].PublicKey(), 3)
 	follower := g.follower()
 	subscriber := g.subscribe(g.running[follower])
 
-	g.accept(operator, 0, "change-1", first)
+	g.acceptDocument(operator, 0, "change-1", first)
 	g.eventually("version 1 is in force at a subscriber of a follower", func() bool { return subscriber.version() == 1 })
 
 	former := g.running[g.leader()]
 	is.True(former.Leading())
 	is.NoErr(former.stop())
-	is.True(!former.Leading()) // it handed over before it stopped
+	is.True(!former.Leading()) // it transferred leadership before it stopped
 
-	reply, err := operator.Submit(g.ctx, submission(0, "change-1", "ann", first))
+	reply, err := operator.Submit(g.ctx, newSubmission(0, "change-1", "ann", first))
 	is.NoErr(err)
-	is.Equal(reply.Refusal, "") // a resend gets the first answer
+	is.Equal(reply.Refusal, "") // a resend gets the first reply
 	is.Equal(reply.Change.Version, uint64(1))
 
-	g.accept(operator, 1, "change-2", documentOf(g.owners["ann"].PublicKey(), 4))
+	g.acceptDocument(operator, 1, "change-2", newDocument(g.owners["ann"].PublicKey(), 4))
 	g.eventually("version 2 is in force", func() bool { return subscriber.version() == 2 })
 
 	history, err := operator.History(g.ctx, catalog.Trial, 10)
@@ -91,74 +91,76 @@
 	is.True(len(explained.Lines) > 3)
 }
 
-// Guards against a second group founded by a controller that lost its disk,
-// and against a member that stays lost.
+// Guards against a second group created by a controller that lost its disk, and
+// against a controller that cannot rejoin after that.
 func TestLostDisk(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 3)
-	g.accept(g.operator(), 0, "change-1", documentOf(g.owners["ann"].PublicKey(), 3))
+	g.acceptDocument(g.operator(), 0, "change-1", newDocument(g.owners["ann"].PublicKey(), 3))
 
 	former := g.running[0].replica()
 	is.NoErr(g.running[0].stop())
 	is.NoErr(os.RemoveAll(g.settings[0].Data))
 
-	// Bootstrap is still set, as it was when the group was founded.
+	// Bootstrap is still set, as it was when the group was created.
 	var failure *Error
 
-	again := g.start(g.settings[0])
-	err := <-again.result
-	again.result <- err
+	restarted := g.start(g.settings[0])
+	err := <-restarted.result
+	restarted.result <- err
 	is.True(errors.As(err, &failure))
 	is.Equal(failure.Kind(), KindGroup)
 
 	g.settings[0].Bootstrap = false
 	rejoined := g.start(g.settings[0])
-	g.eventually("the new replica is a voter and the former one is gone", func() bool {
+	g.eventually("the new replica is a voter and the former one is removed", func() bool {
 		reply, err := g.operator().Members(g.ctx)
-		_, voter := membership(reply, uint64(rejoined.replica()))
-		listed, _ := membership(reply, uint64(former))
+		_, voter := findMember(reply, uint64(rejoined.replica()))
+		listed, _ := findMember(reply, uint64(former))
 
 		return err == nil && voter && !listed && len(reply.Members) == 3
 	})
 	subscriber := g.subscribe(rejoined)
-	g.eventually("the state is back", func() bool { return subscriber.version() == 1 })
+	g.eventually("the subscriber gets the replicated state", func() bool { return subscriber.version() == 1 })
 }
 
-// Guards against an isolated controller that serves an old read, or that
-// passes off its views as confirmed.
+// Guards against an isolated controller that answers reads from outdated state, or
+// that presents its views as confirmed.
 func TestCutController(t *testing.T) {
-	for name, pick := range map[string]func(*fleet) int{"follower": (*fleet).follower, "leader": (*fleet).leader} {
+	for name, pick := range map[string]func(*testGroup) int{
+		"follower": (*testGroup).follower, "leader": (*testGroup).leader,
+	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			g := newGroup(t, 3)
 			chosen := pick(g)
-			cut, others := g.running[chosen], g.running[(chosen+1)%3]
+			isolated, others := g.running[chosen], g.running[(chosen+1)%3]
 			third := g.running[(chosen+2)%3]
-			cut.network.isolate(true)
-			g.eventually("a majority has another leader", func() bool {
+			isolated.network.isolate(true)
+			g.eventually("one of the other controllers leads", func() bool {
 				return g.leaderAmong(others, third)
 			})
-			g.accept(g.operator(others, third), 0, "change-1", documentOf(g.owners["ann"].PublicKey(), 3))
+			g.acceptDocument(g.operator(others, third), 0, "change-1", newDocument(g.owners["ann"].PublicKey(), 3))
 
 			accepted := time.Now()
 			read := make(chan control.ReadIndexReply, 1)
-			question := &readIndex{lost: func(error) { read <- control.ReadIndexReply{} }}
-			question.run = func(*owner, time.Time) { read <- control.ReadIndexReply{Index: question.index} }
-			cut.inbox <- question
+			request := &readIndex{onError: func(error) { read <- control.ReadIndexReply{} }}
+			request.onConfirmed = func(*owner, time.Time) { read <- control.ReadIndexReply{Index: request.index} }
+			isolated.inbox <- request
 			is.Equal((<-read).Index, uint64(0)) // no read is served
 
-			lease := make(chan renewed, 1)
-			cut.inbox <- &renew{request: control.Renew{Environment: catalog.Trial}, reply: lease}
+			lease := make(chan renewResult, 1)
+			isolated.inbox <- &renew{request: control.Renew{Environment: catalog.Trial}, reply: lease}
 			is.True((<-lease).err != nil) // no lease is extended
 
-			snapshot, _ := cut.Publisher(catalog.Trial).Snapshot()
+			snapshot, _ := isolated.Publisher(catalog.Trial).Snapshot()
 			is.Equal(snapshot.View().Version(), uint64(0))
 			is.True(snapshot.ConfirmedAt().Before(accepted))
 			is.True(!snapshot.Confirmed(accepted.Add(rollout.ConfirmationLimit)))
 
-			cut.network.isolate(false)
-			g.eventually("the cut controller catches up and is confirmed", func() bool {
-				snapshot, _ := cut.Publisher(catalog.Trial).Snapshot()
+			isolated.network.isolate(false)
+			g.eventually("the isolated controller catches up and its views are confirmed", func() bool {
+				snapshot, _ := isolated.Publisher(catalog.Trial).Snapshot()
 
 				return snapshot.View().Version() == 1 && snapshot.ConfirmedAt().After(accepted)
 			})
@@ -166,8 +168,9 @@
 	}
 }
 
-// leaderAmong reports whether one of the controllers answers reads itself.
-func (g *fleet) leaderAmong(controllers ...*instance) bool {
+// leaderAmong reports whether one of the given controllers answers reads as the
+// leader.
+func (g *testGroup) leaderAmong(controllers ...*instance) bool {
 	ctx, cancel := context.WithTimeout(g.ctx, time.Second)
 	defer cancel()
 
@@ -185,8 +188,8 @@
 	return false
 }
 
-// Guards against two pending changes, and against a loser that is not told
-// who won.
+// Guards against two pending changes after concurrent submits, and against a
+// conflict that does not name the change that won.
 func TestRacingSubmits(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 3)
@@ -196,31 +199,31 @@
 		operator := g.operator(g.running[i])
 
 		go func() {
-			content := documentOf(g.owners["ann"].PublicKey(), 3+i)
-			reply, err := operator.Submit(g.ctx, submission(0, "change-of-"+author, author, content))
+			content := newDocument(g.owners["ann"].PublicKey(), 3+i)
+			reply, err := operator.Submit(g.ctx, newSubmission(0, "change-of-"+author, author, content))
 			is.NoErr(err)
 			replies <- reply
 		}()
 	}
 
-	a, b := <-replies, <-replies
-	if a.State != control.StatePending {
-		a, b = b, a
+	winner, loser := <-replies, <-replies
+	if winner.State != control.StatePending {
+		winner, loser = loser, winner
 	}
 
-	is.Equal(a.State, control.StatePending)
-	is.Equal(b.State, control.StateConflict)
-	is.Equal(b.Change.Digest, a.Change.Digest) // the conflict names the winner
+	is.Equal(winner.State, control.StatePending)
+	is.Equal(loser.State, control.StateConflict)
+	is.Equal(loser.Change.Digest, winner.Change.Digest) // the conflict names the winner
 }
 
-// Guards against an agent that stays in the view without a lease, against one
-// that expires although it renews, and against unauthorised calls.
+// Guards against an agent that stays active without a lease, against an agent that
+// expires although it renews its lease, and against unauthorised calls.
 func TestMembership(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 1)
 	operator := g.operator()
 	service := g.owners["ann"]
-	g.accept(operator, 0, "change-1", documentOf(service.PublicKey(), 3))
+	g.acceptDocument(operator, 0, "change-1", newDocument(service.PublicKey(), 3))
 
 	subscriber := g.subscribe(g.running[0])
 	agent := g.client(identity.Identity{Role: identity.RoleAgent, Environment: "trial", Name: "a", Service: "crew-link"})
@@ -242,7 +245,7 @@
 	_, err = agent.Announce(g.ctx, forged)
 	is.True(err != nil)
 
-	_, err = agent.Submit(g.ctx, submission(1, "by-agent", "ann", documentOf(service.PublicKey(), 5)))
+	_, err = agent.Submit(g.ctx, newSubmission(1, "by-agent", "ann", newDocument(service.PublicKey(), 5)))
 	is.Equal(link.KindOf(err), link.KindDenied)
 
 	renewal := control.Renew{Environment: catalog.Trial, Renewals: []control.Renewal{
@@ -256,7 +259,7 @@
 
 	status, err := operator.Status(g.ctx, catalog.Trial)
 	is.NoErr(err)
-	is.Equal(status.Rotation, uint64(1)) // the first leader has made the first key
+	is.Equal(status.Rotation, uint64(1)) // the first leader creates the first key
 
 	rotated, err := operator.RotateKey(g.ctx, catalog.Trial, status.Rotation)
 	is.NoErr(err)
@@ -284,8 +287,9 @@
 	is.Equal(reply.Unknown, []view.Incarnation{first.Incarnation + 1}) // the lease was granted again
 }
 
-// Guards against a controller that loses its state in a restart, from entries
-// or from a snapshot, or that founds a second group because bootstrap is set.
+// Guards against a controller that loses state in a restart, whether it restores
+// from log entries or from a snapshot, and against one that creates a second group
+// because bootstrap is still set.
 func TestRestart(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 1)
@@ -296,7 +300,8 @@
 	g.settings[0].SnapshotEntries = 4
 
 	for version := range uint64(6) {
-		g.accept(operator, version, fmt.Sprint("change-", version), documentOf(g.owners["ann"].PublicKey(), 3+int(version)))
+		g.acceptDocument(operator, version, fmt.Sprint("change-", version),
+			newDocument(g.owners["ann"].PublicKey(), 3+int(version)))
 		is.NoErr(g.running[0].stop())
 
 		g.running[0] = g.start(g.settings[0])
@@ -313,5 +318,5 @@
 	snapshots, err := filepath.Glob(filepath.Join(g.settings[0].Data, "*.snapshot"))
 	is.NoErr(err)
 	is.True(len(snapshots) > 0)
-	is.True(filepath.Base(snapshots[0]) > "0000000000000001.snapshot") // newer than the founding one
+	is.True(filepath.Base(snapshots[0]) > "0000000000000001.snapshot") // newer than the initial snapshot
 }
--- a/internal/program/controller/convert.go
+++ b/internal/program/controller/convert.go
@@ -30,8 +30,8 @@
 	return &catalog.Leave{Environment: request.Environment, Incarnation: request.Incarnation, Phase: phase}
 }
 
-// toChangeReply describes the result of a command on a change. A refusal is
-// not an error of the link: its reply names the change that won.
+// toChangeReply converts the result of a command on a change. A refused command
+// gets a reply, not a link error, so that a conflict can name the change that won.
 func toChangeReply(leader, environment string, result catalog.Result) control.ChangeReply {
 	reply := control.ChangeReply{
 		State:   control.ChangeState(result.Status),
@@ -86,8 +86,9 @@
 	return change
 }
 
-// refusalKind translates the kind of a refusal for callers that get an error.
-func refusalKind(kind catalog.Kind) link.Kind {
+// linkKind maps the kind of a refusal to the kind of the link error that the
+// caller gets.
+func linkKind(kind catalog.Kind) link.Kind {
 	switch kind {
 	case catalog.KindConflict, catalog.KindReused, catalog.KindSuperseded, catalog.KindInUse:
 		return link.KindConflict
--- a/internal/program/controller/error.go
+++ b/internal/program/controller/error.go
@@ -9,7 +9,7 @@
 const (
 	KindSettings Kind = "settings" // the settings are not allowed
 	KindStorage  Kind = "storage"  // the data directory cannot be used
-	KindGroup    Kind = "group"    // the controller must not found a group
+	KindGroup    Kind = "group"    // the controller must not create a group
 	KindNetwork  Kind = "network"  // the listen address cannot be used
 	KindLog      Kind = "log"      // the replicated log cannot continue
 )
--- a/internal/program/controller/event.go
+++ b/internal/program/controller/event.go
@@ -11,48 +11,48 @@
 	"jayspindle/internal/transport/link"
 )
 
-// answer is the outcome of a proposal.
-type answer struct {
+// proposalResult is the outcome of a proposal, after it was applied or refused.
+type proposalResult struct {
 	result   catalog.Result
-	position view.Position // of the environment's view once the command is applied
+	position view.Position // of the environment's view after the command
 	err      error
 }
 
 // proposal is a command or membership change that waits to be applied. The
-// reply channel has room for the one answer.
+// reply channel is buffered for its one result, so that the owner never blocks.
 type proposal struct {
 	term  uint64
 	at    time.Time
-	reply chan answer
+	reply chan proposalResult
 }
 
-// command asks the leader to append a command.
+// command is the event that appends a command to the log.
 type command struct {
 	command catalog.Command
-	reply   chan answer
+	reply   chan proposalResult
 }
 
 func (c *command) handle(o *owner, now time.Time) { o.propose(now, c.command, c.reply) }
 
-// readIndex asks the leader for a linearizable read.
+// readIndex is the event that requests a linearizable read.
 type readIndex struct {
-	at    time.Time
-	run   func(o *owner, now time.Time) // after the quorum has confirmed the leader
-	lost  func(err error)
-	index uint64 // set before run
+	at          time.Time
+	onConfirmed func(o *owner, now time.Time) // called after a quorum has confirmed the leader
+	onError     func(err error)
+	index       uint64 // set before onConfirmed is called
 }
 
 func (r *readIndex) handle(o *owner, now time.Time) {
 	r.at = now
 	if o.node == nil {
-		r.lost(o.redirect())
+		r.onError(o.redirect())
 
 		return
 	}
 
 	o.nextRead++
 	if err := o.node.ReadIndex(o.nextRead); err != nil {
-		r.lost(o.refusal(err))
+		r.onError(o.linkError(err))
 
 		return
 	}
@@ -60,7 +60,8 @@
 	o.reads[o.nextRead] = r
 }
 
-// answerReads runs the reads that the log has confirmed or given up.
+// answerReads completes the reads that the log has confirmed, and fails those
+// that it has lost.
 func (o *owner) answerReads(now time.Time, reads []raft.Read) {
 	for _, read := range reads {
 		waiting, ok := o.reads[read.ID]
@@ -71,41 +72,43 @@
 		delete(o.reads, read.ID)
 
 		if read.Lost {
-			waiting.lost(o.redirect())
+			waiting.onError(o.redirect())
 
 			continue
 		}
 
 		waiting.index = read.Index
-		waiting.run(o, now)
+		waiting.onConfirmed(o, now)
 	}
 }
 
-// messages are received from another replica.
-type messages struct{ list []raft.Message }
+// receivedMessages is the event for messages from another replica.
+type receivedMessages struct{ messages []raft.Message }
 
-func (m *messages) handle(o *owner, _ time.Time) {
+func (m *receivedMessages) handle(o *owner, _ time.Time) {
 	if o.node == nil {
 		return
 	}
 
-	for _, message := range m.list {
-		// Foreign and malformed messages are dropped and counted by the node.
+	for _, message := range m.messages {
+		// The node drops and counts malformed messages and those for another
+		// replica, cluster or generation.
 		if err := o.node.Receive(message); err != nil {
-			o.logger.Debug("a message of a replica is dropped", "error", err)
+			o.logger.Debug("dropped a message from a replica", "error", err)
 		}
 	}
 }
 
-// caughtUp confirms the views of a follower once it has applied an index that
-// the leader confirmed at the given time.
-type caughtUp struct {
+// confirmApplied is the event that confirms the views of a follower if it has
+// applied the index that the leader confirmed. The confirmation is dated at the
+// request for that index.
+type confirmApplied struct {
 	index uint64
 	at    time.Time
 	reply chan bool
 }
 
-func (c *caughtUp) handle(o *owner, _ time.Time) {
+func (c *confirmApplied) handle(o *owner, _ time.Time) {
 	ok := o.applied >= c.index
 	if ok {
 		o.confirm(c.at)
@@ -114,13 +117,13 @@
 	c.reply <- ok
 }
 
-// renew extends leases at the leader.
+// renew is the event that extends leases at the leader.
 type renew struct {
 	request control.Renew
-	reply   chan renewed
+	reply   chan renewResult
 }
 
-type renewed struct {
+type renewResult struct {
 	unknown []view.Incarnation
 	err     error
 }
@@ -130,12 +133,13 @@
 
 	switch {
 	case !ok:
-		r.reply <- renewed{err: link.Errorf(link.KindNotFound, "environment %q does not exist", r.request.Environment)}
+		r.reply <- renewResult{err: link.Errorf(link.KindNotFound, "environment %q does not exist", r.request.Environment)}
 
 		return
-	// A leader without a quorum may have been replaced and grants nothing.
-	case !o.leading || now.Sub(o.confirmedAt) > confirmationLimit:
-		r.reply <- renewed{err: o.redirect()}
+	// A leader without a recent quorum confirmation may have been replaced, so it
+	// extends no leases.
+	case !o.leading || now.Sub(o.confirmedAt) > maxConfirmationAge:
+		r.reply <- renewResult{err: o.redirect()}
 
 		return
 	}
@@ -150,33 +154,34 @@
 		})
 	}
 
-	r.reply <- renewed{unknown: table.Renew(now, renewals)}
+	r.reply <- renewResult{unknown: table.Renew(now, renewals)}
 }
 
-// handOver transfers leadership before a planned stop.
-type handOver struct{ done chan struct{} }
+// transferLeadership is the event that transfers leadership before a planned
+// stop. The owner closes done when the transfer has ended.
+type transferLeadership struct{ done chan struct{} }
 
-func (h *handOver) handle(o *owner, _ time.Time) {
+func (t *transferLeadership) handle(o *owner, _ time.Time) {
 	if o.node == nil || o.node.Status().Role != raft.Leader {
-		close(h.done)
+		close(t.done)
 
 		return
 	}
 
 	if err := o.node.TransferLeadership(0); err != nil {
-		o.logger.Warn("the leadership cannot be transferred", "error", err)
-		close(h.done)
+		o.logger.Warn("could not transfer leadership", "error", err)
+		close(t.done)
 
 		return
 	}
 
-	o.handOver = h.done
+	o.transferDone = t.done
 }
 
-func (o *owner) finishHandOver() {
+func (o *owner) finishTransfer() {
 	status := o.node.Status()
-	if o.handOver != nil && (status.Role != raft.Leader || status.Transfer == 0) {
-		close(o.handOver)
-		o.handOver = nil
+	if o.transferDone != nil && (status.Role != raft.Leader || status.Transfer == 0) {
+		close(o.transferDone)
+		o.transferDone = nil
 	}
 }
--- a/internal/program/controller/fixture_test.go
+++ b/internal/program/controller/fixture_test.go
@@ -23,11 +23,11 @@
 	"jayspindle/internal/transport/link"
 )
 
-// testLimit ends a test that hangs; no assertion depends on it.
-const testLimit = 40 * time.Second
+// testTimeout ends a test that hangs. No assertion depends on it.
+const testTimeout = 40 * time.Second
 
-// group runs controllers with real links on loopback.
-type fleet struct {
+// testGroup is a group of controllers with real links on loopback.
+type testGroup struct {
 	t         *testing.T
 	ctx       context.Context
 	directory string
@@ -44,7 +44,7 @@
 	result chan error
 }
 
-// stop ends a controller as a planned stop does.
+// stop stops a controller as in a planned stop and returns the result of Run.
 func (i *instance) stop() error {
 	i.cancel()
 
@@ -54,13 +54,13 @@
 	return err
 }
 
-func newGroup(t *testing.T, size int) *fleet {
+func newGroup(t *testing.T, size int) *testGroup {
 	t.Helper()
 
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 
-	g := &fleet{t: t, ctx: ctx, directory: t.TempDir(), owners: make(map[string]*identity.PrivateKey)}
+	g := &testGroup{t: t, ctx: ctx, directory: t.TempDir(), owners: make(map[string]*identity.PrivateKey)}
 
 	var err error
 
@@ -108,7 +108,7 @@
 	return g
 }
 
-func (g *fleet) path(name string) string { return filepath.Join(g.directory, name) }
+func (g *testGroup) path(name string) string { return filepath.Join(g.directory, name) }
 
 func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
@@ -120,7 +120,7 @@
 	return socket.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-func (g *fleet) files(holder identity.Identity) identity.Files {
+func (g *testGroup) files(holder identity.Identity) identity.Files {
 	g.t.Helper()
 
 	g.issued++
@@ -134,7 +134,7 @@
 	return files
 }
 
-func (g *fleet) start(settings Settings) *instance {
+func (g *testGroup) start(settings Settings) *instance {
 	g.t.Helper()
 
 	g.issued++
@@ -151,8 +151,8 @@
 	return started
 }
 
-// client returns a client of the given controllers, of all without any.
-func (g *fleet) client(holder identity.Identity, targets ...*instance) *Client {
+// client returns a client of the given controllers, or of all if none is given.
+func (g *testGroup) client(holder identity.Identity, targets ...*instance) *Client {
 	g.t.Helper()
 
 	var addresses []netip.AddrPort
@@ -178,22 +178,24 @@
 
 var operatorIdentity = identity.Identity{Role: identity.RoleOperator, Environment: "all", Name: "operator"}
 
-func (g *fleet) operator(targets ...*instance) *Client { return g.client(operatorIdentity, targets...) }
+func (g *testGroup) operator(targets ...*instance) *Client {
+	return g.client(operatorIdentity, targets...)
+}
 
-// eventually waits until a condition holds; the test fails if it never does.
-func (g *fleet) eventually(what string, holds func() bool) {
+// eventually waits until a condition holds. It fails the test at testTimeout.
+func (g *testGroup) eventually(description string, holds func() bool) {
 	g.t.Helper()
 
 	for !holds() {
 		if g.ctx.Err() != nil {
-			g.t.Fatalf("never happened: %s", what)
+			g.t.Fatalf("condition was not met: %s", description)
 		}
 
 		sleep(g.ctx, 20*time.Millisecond)
 	}
 }
 
-func (g *fleet) waitVoters(count int) {
+func (g *testGroup) waitVoters(count int) {
 	g.t.Helper()
 
 	operator := g.operator()
@@ -214,7 +216,7 @@
 }
 
 // leader returns the index of the leader.
-func (g *fleet) leader() int {
+func (g *testGroup) leader() int {
 	g.t.Helper()
 
 	reply, err := g.operator().Status(g.ctx, catalog.Trial)
@@ -231,10 +233,10 @@
 	return 0
 }
 
-func (g *fleet) follower() int { return (g.leader() + 1) % len(g.settings) }
+func (g *testGroup) follower() int { return (g.leader() + 1) % len(g.settings) }
 
-// documentOf returns a document whose service has the given key and slots.
-func documentOf(key ed25519.PublicKey, slots int) []byte {
+// newDocument returns a document whose service has the given key and slots.
+func newDocument(key ed25519.PublicKey, slots int) []byte {
 	return fmt.Appendf(nil, `schema: 1
 services:
   - name: crew-link
@@ -248,18 +250,18 @@
 `, identity.FormatPublicKey(key), slots)
 }
 
-func submission(base uint64, id, author string, content []byte) control.Submit {
+func newSubmission(base uint64, id, author string, content []byte) control.Submit {
 	return control.Submit{
 		Environment: catalog.Trial, Base: base, ChangeID: id, Author: author, Reason: "test", Document: content,
 	}
 }
 
-// accept submits a document and signs it as both owners.
-func (g *fleet) accept(operator *Client, base uint64, id string, content []byte) {
+// acceptDocument submits a document and signs it as both owners.
+func (g *testGroup) acceptDocument(operator *Client, base uint64, id string, content []byte) {
 	g.t.Helper()
 
 	is := is.New(g.t)
-	reply, err := operator.Submit(g.ctx, submission(base, id, "ann", content))
+	reply, err := operator.Submit(g.ctx, newSubmission(base, id, "ann", content))
 	is.NoErr(err)
 	is.Equal(reply.State, control.StatePending)
 
@@ -278,4 +280,4 @@
 	is.Equal(reply.State, control.StateAccepted)
 }
 
-func (i *instance) replica() raft.ReplicaID { return i.origin.Replica }
+func (i *instance) replica() raft.ReplicaID { return i.initialIdentity.Replica }
--- a/internal/program/controller/lead.go
+++ b/internal/program/controller/lead.go
@@ -10,44 +10,46 @@
 )
 
 const (
-	// confirmInterval is the time between two confirmations by the quorum.
+	// confirmInterval is the time between two requests for a confirmation by the
+	// quorum.
 	confirmInterval = 500 * time.Millisecond
 
-	// confirmationLimit is the age of a confirmation up to which a leader
-	// extends leases: one lost confirmation is tolerated.
-	confirmationLimit = 3 * confirmInterval
+	// maxConfirmationAge is the maximum age of the last confirmation at which a
+	// leader still extends leases. It tolerates one lost confirmation.
+	maxConfirmationAge = 3 * confirmInterval
 
-	// rampInterval is the time after which the weight of an agent that flapped
-	// doubles: it takes its full share after 7 s.
+	// rampInterval is the time between two doublings of the weight of an agent
+	// that flapped. The agent reaches its full weight after 7 s.
 	rampInterval = time.Second
 
-	// forgetInterval is the time between two commands that let the catalog
-	// forget members which have been suspended for long.
-	forgetInterval = 10 * time.Minute
+	// purgeInterval is the time between two commands that make the catalog drop
+	// members whose suspension has exceeded its retention time.
+	purgeInterval = 10 * time.Minute
 )
 
-// duties remembers when a leader last did its regular work.
-type duties struct {
-	confirm    time.Time
-	ramp       time.Time
-	reconcile  time.Time
-	forget     time.Time
-	keyAsked   map[string]bool
-	confirming bool
+// leaderTasks records when the leader last ran each of its periodic tasks.
+type leaderTasks struct {
+	lastConfirm   time.Time
+	lastRamp      time.Time
+	lastReconcile time.Time
+	lastPurge     time.Time
+	keyProposed   map[string]bool
+	confirming    bool
 }
 
-// lead does the work of a leader, and of its start.
-func (o *owner) lead(now time.Time) {
+// runLeaderTasks detects changes of leadership and runs the periodic tasks of the
+// leader.
+func (o *owner) runLeaderTasks(now time.Time) {
 	status := o.node.Status()
 	leading := status.Role == raft.Leader && status.Ready
 
 	if leading != o.leading {
-		o.leading, o.duties, o.confirmedAt = leading, duties{keyAsked: make(map[string]bool)}, time.Time{}
-		o.published.Store(leading)
+		o.leading, o.tasks, o.confirmedAt = leading, leaderTasks{keyProposed: make(map[string]bool)}, time.Time{}
+		o.leadingFlag.Store(leading)
 		o.logger.Info("leadership changed", "leading", leading, "term", status.Term)
 
 		if leading {
-			o.takeOver(now)
+			o.resetLeases(now)
 		}
 	}
 
@@ -56,30 +58,30 @@
 	}
 
 	o.confirmByQuorum(now)
-	o.expire(now)
-	o.forgetSuspended(now)
+	o.expireLeases(now)
+	o.purgeSuspended(now)
 	o.rampUp(now)
-	o.foundKeys(now)
+	o.proposeFirstKeys(now)
 }
 
-// takeOver grants every known lease one full TTL, because the renewals that
-// the previous leader received are unknown.
-func (o *owner) takeOver(now time.Time) {
+// resetLeases grants every member a lease of one full TTL, because a new leader
+// does not know which renewals the previous leader received.
+func (o *owner) resetLeases(now time.Time) {
 	for environment, table := range o.leases {
-		o.reconcile(now, environment)
+		o.reconcileLeases(now, environment)
 		table.Reset(now)
 	}
 }
 
-func (o *owner) reconcile(now time.Time, environment string) {
-	if err := o.leases[environment].Reconcile(now, members(o.state.View(environment))); err != nil {
-		o.logger.Warn("leases cannot be granted", "environment", environment, "error", err)
+func (o *owner) reconcileLeases(now time.Time, environment string) {
+	if err := o.leases[environment].Reconcile(now, leaseHolders(o.state.View(environment))); err != nil {
+		o.logger.Warn("could not grant leases", "environment", environment, "error", err)
 	}
 }
 
-// members returns the incarnations that hold a lease. A suspended one gets its
-// lease back by another announcement only.
-func members(current *view.View) []view.Incarnation {
+// leaseHolders returns the incarnations that hold a lease. A suspended instance
+// gets a lease again only when it announces itself again.
+func leaseHolders(current *view.View) []view.Incarnation {
 	var incarnations []view.Incarnation
 
 	for _, agent := range current.Agents() {
@@ -97,8 +99,8 @@
 	return incarnations
 }
 
-// follow keeps the leases in step with an applied command.
-func (o *owner) follow(now time.Time, result catalog.Result) {
+// updateLeases drops and grants leases according to an applied command.
+func (o *owner) updateLeases(now time.Time, result catalog.Result) {
 	table, ok := o.leases[result.Environment]
 	if !ok || !o.leading {
 		return
@@ -106,14 +108,14 @@
 
 	table.Drop(result.Removed...)
 
-	if current := o.state.View(result.Environment); result.Incarnation != 0 && known(current, result.Incarnation) {
+	if current := o.state.View(result.Environment); result.Incarnation != 0 && hasMember(current, result.Incarnation) {
 		if err := table.Grant(now, result.Incarnation); err != nil {
-			o.logger.Warn("a lease cannot be granted", "environment", result.Environment, "error", err)
+			o.logger.Warn("could not grant a lease", "environment", result.Environment, "error", err)
 		}
 	}
 }
 
-func known(current *view.View, incarnation view.Incarnation) bool {
+func hasMember(current *view.View, incarnation view.Incarnation) bool {
 	if _, ok := current.Agent(incarnation); ok {
 		return true
 	}
@@ -123,24 +125,24 @@
 	return ok
 }
 
-// confirmByQuorum asks the quorum from time to time whether this leader still
-// leads. The confirmation is as old as the question.
+// confirmByQuorum periodically checks with the quorum that this controller is
+// still the leader. The confirmation is dated at the request, not at the reply.
 func (o *owner) confirmByQuorum(now time.Time) {
-	if now.Sub(o.duties.confirm) < confirmInterval || o.duties.confirming {
+	if now.Sub(o.tasks.lastConfirm) < confirmInterval || o.tasks.confirming {
 		return
 	}
 
-	o.duties.confirm, o.duties.confirming = now, true
+	o.tasks.lastConfirm, o.tasks.confirming = now, true
 
-	question := &readIndex{
-		run: func(o *owner, _ time.Time) {
-			o.duties.confirming = false
+	request := &readIndex{
+		onConfirmed: func(o *owner, _ time.Time) {
+			o.tasks.confirming = false
 			o.confirmedAt = now
 			o.confirm(now)
 		},
-		lost: func(error) { o.duties.confirming = false },
+		onError: func(error) { o.tasks.confirming = false },
 	}
-	question.handle(o, now)
+	request.handle(o, now)
 }
 
 func (o *owner) confirm(at time.Time) {
@@ -149,48 +151,50 @@
 	}
 }
 
-// expire proposes the removal of members whose leases ran out.
-func (o *owner) expire(now time.Time) {
-	again := now.Sub(o.duties.reconcile) >= LeaseTTL
+// expireLeases proposes an Expire command for the members whose leases have
+// expired.
+func (o *owner) expireLeases(now time.Time) {
+	retry := now.Sub(o.tasks.lastReconcile) >= LeaseTTL
 
 	for environment, table := range o.leases {
-		// An expiry whose proposal was lost is tried again.
-		if again {
-			o.duties.reconcile = now
-			o.reconcile(now, environment)
+		// Reconcile again, so that an expiry whose proposal was lost is retried.
+		if retry {
+			o.tasks.lastReconcile = now
+			o.reconcileLeases(now, environment)
 		}
 
 		if expired := table.Expired(now); len(expired) > 0 {
 			o.logger.Info("leases expired", "environment", environment, "incarnations", expired)
-			o.proposeOwn(now, catalog.Command{Expire: &catalog.Expire{Environment: environment, Incarnations: expired}})
+			o.proposeAsLeader(now, catalog.Command{Expire: &catalog.Expire{Environment: environment, Incarnations: expired}})
 		}
 	}
 }
 
-// forgetSuspended lets the catalog drop members that have been suspended for
-// long. An Expire command without incarnations does that and nothing else.
-func (o *owner) forgetSuspended(now time.Time) {
-	if now.Sub(o.duties.forget) < forgetInterval {
+// purgeSuspended makes the catalog drop members that have been suspended for
+// long. An Expire command without incarnations has no other effect.
+func (o *owner) purgeSuspended(now time.Time) {
+	if now.Sub(o.tasks.lastPurge) < purgeInterval {
 		return
 	}
 
-	o.duties.forget = now
+	o.tasks.lastPurge = now
 
 	for environment := range o.leases {
 		current := o.state.View(environment)
-		if len(members(current)) < len(current.Agents())+len(current.Balancers()) {
-			o.proposeOwn(now, catalog.Command{Expire: &catalog.Expire{Environment: environment}})
+		if len(leaseHolders(current)) < len(current.Agents())+len(current.Balancers()) {
+			o.proposeAsLeader(now, catalog.Command{Expire: &catalog.Expire{Environment: environment}})
 		}
 	}
 }
 
-// rampUp doubles the weights of agents that started low because they flapped.
+// rampUp doubles the weights of agents that started with a low weight because
+// they flapped.
 func (o *owner) rampUp(now time.Time) {
-	if now.Sub(o.duties.ramp) < rampInterval {
+	if now.Sub(o.tasks.lastRamp) < rampInterval {
 		return
 	}
 
-	o.duties.ramp = now
+	o.tasks.lastRamp = now
 
 	for environment := range o.leases {
 		for _, agent := range o.state.View(environment).Agents() {
@@ -198,7 +202,7 @@
 				continue
 			}
 
-			o.proposeOwn(now, catalog.Command{SetWeight: &catalog.SetWeight{
+			o.proposeAsLeader(now, catalog.Command{SetWeight: &catalog.SetWeight{
 				Environment: environment,
 				Incarnation: agent.Incarnation,
 				Weight:      min(max(2*agent.Weight, 1), view.MaxWeight),
@@ -207,15 +211,15 @@
 	}
 }
 
-// foundKeys proposes the first fabric key of each environment.
-func (o *owner) foundKeys(now time.Time) {
+// proposeFirstKeys proposes the first fabric key of each environment.
+func (o *owner) proposeFirstKeys(now time.Time) {
 	for environment := range o.leases {
-		if len(o.state.View(environment).Keys()) > 0 || o.duties.keyAsked[environment] {
+		if len(o.state.View(environment).Keys()) > 0 || o.tasks.keyProposed[environment] {
 			continue
 		}
 
 		first := catalog.Command{RotateKey: newKey(environment, o.state.Rotations(environment))}
-		o.duties.keyAsked[environment] = o.proposeOwn(now, first)
+		o.tasks.keyProposed[environment] = o.proposeAsLeader(now, first)
 	}
 }
 
@@ -226,15 +230,15 @@
 	return key
 }
 
-// proposeOwn proposes a command of the leader itself and reports whether it
-// was accepted. A refused duty is tried again.
-func (o *owner) proposeOwn(now time.Time, own catalog.Command) bool {
-	reply := make(chan answer, 1)
+// proposeAsLeader proposes a command on behalf of the leader itself and reports
+// whether the log accepted it. If not, a later run of the task retries it.
+func (o *owner) proposeAsLeader(now time.Time, own catalog.Command) bool {
+	reply := make(chan proposalResult, 1)
 	o.propose(now, own, reply)
 
 	select {
 	case refused := <-reply:
-		o.logger.Debug("a proposal of the leader is refused", "error", refused.err)
+		o.logger.Debug("a proposal of the leader was refused", "error", refused.err)
 
 		return false
 	default:
--- a/internal/program/controller/lead_test.go
+++ b/internal/program/controller/lead_test.go
@@ -8,8 +8,8 @@
 	"jayspindle/internal/state/view"
 )
 
-// Guards against suspended members that get leases again without another
-// announcement: they would renew, never announce, and stay suspended.
+// Guards against suspended members that get a lease without a new announcement:
+// they would renew the lease, never announce themselves and stay suspended.
 func TestMembers(t *testing.T) {
 	current := view.New(view.Contents{
 		Agents: []view.Agent{
@@ -20,5 +20,5 @@
 		Balancers: []view.Balancer{{Incarnation: 4, State: view.Suspended}, {Incarnation: 5, State: view.Active}},
 	})
 
-	is.New(t).Equal(members(current), []view.Incarnation{1, 3, 5})
+	is.New(t).Equal(leaseHolders(current), []view.Incarnation{1, 3, 5})
 }
--- a/internal/program/controller/members.go
+++ b/internal/program/controller/members.go
@@ -9,41 +9,42 @@
 	"jayspindle/internal/transport/link"
 )
 
-// changeMembers lists or changes the controller group.
+// changeMembers is the event that changes the controller group, or checks that
+// the leader can list it.
 type changeMembers struct {
 	request control.Members
-	reply   chan answer
+	reply   chan proposalResult
 }
 
-// handle proposes the change. The reply is an empty answer once the change is
-// in force; the members are then read from the log.
+// handle proposes the change. The reply is an empty result once the change is
+// applied. The caller then reads the members from the log.
 func (c *changeMembers) handle(o *owner, now time.Time) {
 	if o.node == nil || o.node.Status().Role != raft.Leader {
-		c.reply <- answer{err: o.redirect()}
+		c.reply <- proposalResult{err: o.redirect()}
 
 		return
 	}
 
-	change, needed, err := o.change(c.request)
+	change, needed, err := o.nextChange(c.request)
 	if err != nil || !needed {
-		c.reply <- answer{err: err}
+		c.reply <- proposalResult{err: err}
 
 		return
 	}
 
 	index, term, err := o.node.ChangeMembership(change)
 	if err != nil {
-		c.reply <- answer{err: o.refusal(err)}
+		c.reply <- proposalResult{err: o.linkError(err)}
 
 		return
 	}
 
-	o.await(now, index, term, c.reply)
+	o.trackProposal(now, index, term, c.reply)
 }
 
-// change returns the next change that leads to what is asked for; needed is
-// false if that is the case already.
-func (o *owner) change(request control.Members) (change raft.Change, needed bool, err error) {
+// nextChange returns the next change towards the requested membership. needed is
+// false if the group already has that membership.
+func (o *owner) nextChange(request control.Members) (change raft.Change, needed bool, err error) {
 	member := raft.Member{ID: raft.ReplicaID(request.Member.Replica), Address: request.Member.Address.String()}
 	current, listed := o.member(member.ID)
 
@@ -53,8 +54,8 @@
 			return change, false, nil
 		}
 
-		// A replica that lost its disk comes back under a new identity. The
-		// former one can never answer again, so it goes first.
+		// A replica that lost its disk rejoins under a new identity. Its former
+		// identity can never answer again, so it is removed first.
 		if former, ok := o.memberAt(member.Address); ok {
 			return raft.Change{Kind: raft.ChangeRemove, Member: former}, true, nil
 		}
@@ -93,7 +94,7 @@
 	return raft.Member{}, false
 }
 
-// listMembers describes the group as this replica knows it.
+// listMembers is the event that lists the group as this replica knows it.
 type listMembers struct{ reply chan control.MembersReply }
 
 func (l *listMembers) handle(o *owner, _ time.Time) { l.reply <- o.members() }
--- a/internal/program/controller/metrics.go
+++ b/internal/program/controller/metrics.go
@@ -6,7 +6,8 @@
 	"jayspindle/internal/state/catalog"
 )
 
-// commands counts the applied log entries by the kind of their refusal.
+// commands counts the commands applied from the log: accepted ones under
+// "applied", refused ones by the kind of the refusal.
 var commands = expvar.NewMap("controller_commands")
 
 func countCommand(result catalog.Result) {
--- a/internal/program/controller/network.go
+++ b/internal/program/controller/network.go
@@ -17,22 +17,21 @@
 )
 
 const (
-	// queueSize bounds the messages that wait for one replica. The log copes
-	// with lost messages, so a full queue drops the newest.
+	// queueSize is the maximum number of messages that wait for one replica. Raft
+	// tolerates lost messages, so a full queue drops new messages.
 	queueSize = 256
 
-	// sendTimeout bounds one call to another replica. Messages that are older
-	// than a few election timeouts have no use.
+	// sendTimeout limits one call to another replica. Messages that are older
+	// than a few election timeouts are obsolete.
 	sendTimeout = 2 * time.Second
 
-	// collectLimit is the size in bytes from which a request takes no further
-	// message. What remains of control.MaxReplicate holds one more message with
-	// an entry of maxProposal.
-	collectLimit = control.MaxReplicate / 8
+	// batchThresholdBytes is the size at which a request accepts no further
+	// messages. The rest of control.MaxReplicate leaves room for one more message
+	// with an entry of maxProposalBytes.
+	batchThresholdBytes = control.MaxReplicate / 8
 )
 
-// network sends messages of the log to the other replicas and knows their
-// addresses.
+// network sends Raft messages to the other replicas and stores their addresses.
 type network struct {
 	store  *identity.Store
 	logger *slog.Logger
@@ -43,11 +42,11 @@
 	senders   map[raft.ReplicaID]*sender
 	group     conc.WaitGroup
 	closed    bool
-	// cut drops all messages, to isolate a controller in tests.
-	cut bool
+	// dropMessages drops all messages, to isolate a controller in tests.
+	dropMessages bool
 }
 
-// sender delivers the messages of one replica in order.
+// sender delivers messages to one replica in order.
 type sender struct {
 	client *link.Client
 	cancel context.CancelFunc
@@ -64,7 +63,7 @@
 	}
 }
 
-// dial returns a client of other controllers.
+// dial returns a client of the controllers at the given addresses.
 func (n *network) dial(addresses ...netip.AddrPort) *link.Client {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -81,8 +80,9 @@
 	})
 }
 
-// learn records where a replica listens.
-func (n *network) learn(replica raft.ReplicaID, address netip.AddrPort) {
+// setAddress stores the address at which a replica listens. If the address
+// changed, it stops the sender to the former one.
+func (n *network) setAddress(replica raft.ReplicaID, address netip.AddrPort) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 
@@ -92,13 +92,13 @@
 
 	n.addresses[replica] = address
 
-	if moved, ok := n.senders[replica]; ok {
-		moved.cancel()
+	if outdated, ok := n.senders[replica]; ok {
+		outdated.cancel()
 		delete(n.senders, replica)
 	}
 }
 
-// address returns where a replica listens.
+// address returns the address at which a replica listens.
 func (n *network) address(replica raft.ReplicaID) (netip.AddrPort, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -113,23 +113,24 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 
-	return n.cut
+	return n.dropMessages
 }
 
-// isolate drops all messages from now on, or no longer.
-func (n *network) isolate(cut bool) {
+// isolate sets whether all messages are dropped.
+func (n *network) isolate(isolated bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 
-	n.cut = cut
+	n.dropMessages = isolated
 }
 
-// send queues messages. It never blocks.
+// send queues messages for their recipients. It drops messages instead of
+// waiting for a full queue.
 func (n *network) send(from raft.ReplicaID, listen netip.AddrPort, list []raft.Message) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 
-	if n.closed || n.cut {
+	if n.closed || n.dropMessages {
 		return
 	}
 
@@ -141,7 +142,7 @@
 
 		target, ok := n.senders[message.To]
 		if !ok {
-			target = n.start(from, listen, address)
+			target = n.startSender(from, listen, address)
 			n.senders[message.To] = target
 		}
 
@@ -152,7 +153,7 @@
 	}
 }
 
-func (n *network) start(from raft.ReplicaID, listen, to netip.AddrPort) *sender {
+func (n *network) startSender(from raft.ReplicaID, listen, to netip.AddrPort) *sender {
 	ctx, cancel := context.WithCancel(context.Background())
 	started := &sender{client: n.dialLocked(to), cancel: cancel, queue: make(chan raft.Message, queueSize)}
 
@@ -163,7 +164,7 @@
 			select {
 			case first := <-started.queue:
 				n.deliver(ctx, started, control.Replicate{
-					Replica: uint64(from), Address: listen, Messages: started.collect(first, n.logger),
+					Replica: uint64(from), Address: listen, Messages: started.encodeBatch(first, n.logger),
 				})
 			case <-ctx.Done():
 			}
@@ -173,8 +174,9 @@
 	return started
 }
 
-// collect adds the messages that wait already, up to collectLimit.
-func (s *sender) collect(first raft.Message, logger *slog.Logger) [][]byte {
+// encodeBatch encodes the first message and the queued ones, until their total
+// size reaches batchThresholdBytes.
+func (s *sender) encodeBatch(first raft.Message, logger *slog.Logger) [][]byte {
 	var (
 		list  [][]byte
 		total int
@@ -183,7 +185,7 @@
 	for message, ok := first, true; ok; {
 		encoded, err := raft.EncodeMessage(&message)
 		if err != nil {
-			logger.Error("a message of the log cannot be encoded", "error", err)
+			logger.Error("could not encode a raft message", "error", err)
 		} else {
 			list = append(list, encoded)
 			total += len(encoded)
@@ -191,7 +193,7 @@
 
 		ok = false
 
-		if total < collectLimit {
+		if total < batchThresholdBytes {
 			select {
 			case message = <-s.queue:
 				ok = true
@@ -212,7 +214,7 @@
 	}
 
 	if err := target.client.Call(ctx, control.MethodReplicate, request, nil); err != nil {
-		n.logger.Debug("messages of the log are lost", "error", err)
+		n.logger.Debug("could not send raft messages", "error", err)
 	}
 }
 
--- a/internal/program/controller/operate.go
+++ b/internal/program/controller/operate.go
@@ -14,8 +14,8 @@
 	"jayspindle/internal/transport/link"
 )
 
-// change runs a command on a document or on the owners.
-func (c *Controller) change(ctx context.Context, environment string, proposed catalog.Command) (any, error) {
+// proposeChange proposes a command that changes a document or an owner.
+func (c *Controller) proposeChange(ctx context.Context, environment string, proposed catalog.Command) (any, error) {
 	outcome, err := c.propose(ctx, proposed)
 	if err != nil {
 		return nil, err
@@ -24,9 +24,10 @@
 	return toChangeReply(c.settings.Name, environment, outcome.result), nil
 }
 
-// named adds the change ID to the reply to the request that carried it: the
-// operator needs it for a resend. A conflict names the winner instead.
-func named(id string, result any, err error) (any, error) {
+// withChangeID adds the change ID of the request to its reply, because the
+// operator needs it to resend the request. The reply to a conflict keeps the ID
+// of the change that won.
+func withChangeID(id string, result any, err error) (any, error) {
 	reply, ok := result.(control.ChangeReply)
 	if ok && reply.State != control.StateConflict {
 		reply.Change.ChangeID = id
@@ -37,7 +38,7 @@
 }
 
 func (c *Controller) submit(ctx context.Context, request control.Submit) (any, error) {
-	result, err := c.change(ctx, request.Environment, catalog.Command{Submit: &catalog.Submit{
+	result, err := c.proposeChange(ctx, request.Environment, catalog.Command{Submit: &catalog.Submit{
 		Environment: request.Environment,
 		Base:        request.Base,
 		ChangeID:    request.ChangeID,
@@ -46,11 +47,11 @@
 		Document:    request.Document,
 	}})
 
-	return named(request.ChangeID, result, err)
+	return withChangeID(request.ChangeID, result, err)
 }
 
 func (c *Controller) sign(ctx context.Context, request control.Sign) (any, error) {
-	return c.change(ctx, request.Environment, catalog.Command{Sign: &catalog.Sign{
+	return c.proposeChange(ctx, request.Environment, catalog.Command{Sign: &catalog.Sign{
 		Environment: request.Environment,
 		Version:     request.Version,
 		Digest:      [32]byte(request.Digest),
@@ -60,7 +61,7 @@
 }
 
 func (c *Controller) reject(ctx context.Context, request control.Reject) (any, error) {
-	return c.change(ctx, request.Environment, catalog.Command{Reject: &catalog.Reject{
+	return c.proposeChange(ctx, request.Environment, catalog.Command{Reject: &catalog.Reject{
 		Environment: request.Environment,
 		Version:     request.Version,
 		Digest:      [32]byte(request.Digest),
@@ -70,7 +71,7 @@
 }
 
 func (c *Controller) promote(ctx context.Context, request control.Promote) (any, error) {
-	result, err := c.change(ctx, catalog.Production, catalog.Command{Promote: &catalog.Promote{
+	result, err := c.proposeChange(ctx, catalog.Production, catalog.Command{Promote: &catalog.Promote{
 		Base:     request.Base,
 		ChangeID: request.ChangeID,
 		Author:   request.Author,
@@ -78,11 +79,11 @@
 		Digest:   [32]byte(request.Digest),
 	}})
 
-	return named(request.ChangeID, result, err)
+	return withChangeID(request.ChangeID, result, err)
 }
 
 func (c *Controller) replaceOwner(ctx context.Context, request control.ReplaceOwner) (any, error) {
-	result, err := c.change(ctx, catalog.Owners, catalog.Command{ReplaceOwner: &catalog.ReplaceOwner{
+	result, err := c.proposeChange(ctx, catalog.Owners, catalog.Command{ReplaceOwner: &catalog.ReplaceOwner{
 		Base:     request.Base,
 		ChangeID: request.ChangeID,
 		Author:   request.Author,
@@ -92,7 +93,7 @@
 		NewKey:   request.PublicKey,
 	}})
 
-	return named(request.ChangeID, result, err)
+	return withChangeID(request.ChangeID, result, err)
 }
 
 func (c *Controller) rotateKey(ctx context.Context, request control.RotateKey) (any, error) {
@@ -104,7 +105,7 @@
 	}
 
 	if err := outcome.result.Err(); err != nil {
-		return nil, link.NewError(refusalKind(outcome.result.Kind), err)
+		return nil, link.NewError(linkKind(outcome.result.Kind), err)
 	}
 
 	return control.RotateKeyReply{
@@ -113,7 +114,7 @@
 }
 
 func (c *Controller) status(ctx context.Context, request control.Status) (any, error) {
-	reply, err := read(ctx, c, func(o *owner, _ uint64) *control.StatusReply { return o.status(request) })
+	reply, err := readLinearizable(ctx, c, func(o *owner, _ uint64) *control.StatusReply { return o.status(request) })
 	if err == nil && reply == nil {
 		err = link.Errorf(link.KindNotFound, "environment %q does not exist", request.Environment)
 	}
@@ -130,7 +131,7 @@
 	}
 
 	digest := current.DocumentDigest()
-	holding, _ := o.leases[environment].InForce(current.Position())
+	inForce, _ := o.leases[environment].InForce(current.Position())
 	reply := &control.StatusReply{
 		Environment: environment,
 		Leader:      o.name,
@@ -141,7 +142,7 @@
 		Services:    uint32(len(current.Services())),
 		Agents:      uint32(len(current.Agents())),
 		Balancers:   uint32(len(current.Balancers())),
-		InForce:     uint32(holding),
+		InForce:     uint32(inForce),
 		Rotation:    o.state.Rotations(environment),
 		Instances:   o.instances(time.Now(), current, request.After),
 	}
@@ -154,8 +155,8 @@
 	return reply
 }
 
-// instances describes up to control.MaxInstances members with an incarnation
-// above after.
+// instances returns up to control.MaxInstances members with an incarnation above
+// after, in the order of their incarnations.
 func (o *owner) instances(now time.Time, current *view.View, after view.Incarnation) []control.Instance {
 	var all []control.Instance
 
@@ -182,14 +183,15 @@
 	all = all[:min(len(all), control.MaxInstances)]
 
 	for i := range all {
-		o.report(now, current.Environment(), &all[i])
+		o.addLeaseStatus(now, current.Environment(), &all[i])
 	}
 
 	return all
 }
 
-// report adds what the instance said with its last renewal to this leader.
-func (o *owner) report(now time.Time, environment string, instance *control.Instance) {
+// addLeaseStatus adds the data of the last renewal that this leader received from
+// the instance. Without one, Renewed is -1.
+func (o *owner) addLeaseStatus(now time.Time, environment string, instance *control.Instance) {
 	instance.Renewed = -1
 
 	lease, ok := o.leases[environment].Status(instance.Incarnation)
@@ -209,7 +211,7 @@
 		limit = control.MaxHistory
 	}
 
-	records, err := read(ctx, c, func(o *owner, _ uint64) []catalog.Record {
+	records, err := readLinearizable(ctx, c, func(o *owner, _ uint64) []catalog.Record {
 		return o.history(request.Environment, limit)
 	})
 	if err != nil {
@@ -224,7 +226,8 @@
 	return reply, nil
 }
 
-// history returns the pending change, if there is one, and then the decided ones.
+// history returns the pending change, if there is one, followed by the decided
+// changes.
 func (o *owner) history(environment string, limit int) []catalog.Record {
 	decided := o.state.History(environment, limit)
 
@@ -239,7 +242,7 @@
 }
 
 func (c *Controller) explain(ctx context.Context, request control.Explain) (any, error) {
-	lines, err := read(ctx, c, func(o *owner, _ uint64) []string { return o.explain(request) })
+	lines, err := readLinearizable(ctx, c, func(o *owner, _ uint64) []string { return o.explain(request) })
 	if err == nil && len(lines) == 0 {
 		err = link.Errorf(link.KindNotFound, "%q is neither a change ID nor a version of %q",
 			request.Topic, request.Environment)
@@ -276,7 +279,7 @@
 	return append(lines, o.distribution(record)...)
 }
 
-// distribution states where an accepted change is in force.
+// distribution describes at how many instances an accepted change is in force.
 func (o *owner) distribution(record catalog.Record) []string {
 	current := o.state.View(record.Environment)
 
@@ -287,9 +290,9 @@
 		return []string{fmt.Sprintf("replaced by version %d", current.Version())}
 	}
 
-	holding, total := o.leases[record.Environment].InForce(current.Position())
+	inForce, total := o.leases[record.Environment].InForce(current.Position())
 
-	return []string{fmt.Sprintf("in force at %d of %d instances, position %s", holding, total, current.Position())}
+	return []string{fmt.Sprintf("in force at %d of %d instances, position %s", inForce, total, current.Position())}
 }
 
 func formatTime(nanoseconds int64) string {
--- a/internal/program/controller/owner.go
+++ b/internal/program/controller/owner.go
@@ -19,23 +19,24 @@
 )
 
 const (
-	// maxBatch bounds the events handled before their entries are saved
-	// together, with one fsync.
-	maxBatch = 256
+	// maxBatchEvents limits the events that are handled before their log entries
+	// are saved together, with one fsync.
+	maxBatchEvents = 256
 
 	// defaultSnapshotEntries is the number of applied entries between two
 	// snapshots. The log holds at most 100,000 entries.
 	defaultSnapshotEntries = 10_000
 
-	// forgetAfter is the time after which nobody waits for an answer any more.
-	forgetAfter = time.Minute
+	// proposalTTL is the time after which a proposal without a result is dropped,
+	// because its caller no longer waits.
+	proposalTTL = time.Minute
 
-	// maxProposal is 1.25 MiB: a document of control.MaxDocument and its envelope
+	// maxProposalBytes is 1.25 MiB: a document of control.MaxDocument and its envelope
 	// fit, and a message with the entry stays below control.MaxReplicate.
-	maxProposal = 5 << 18
+	maxProposalBytes = 5 << 18
 )
 
-// event is an input of the owner.
+// event is a request that the owner handles in its goroutine.
 type event interface{ handle(o *owner, now time.Time) }
 
 // owner holds the control state. Only its goroutine uses it.
@@ -53,23 +54,23 @@
 	network    *network
 	inbox      <-chan event
 
-	proposals map[uint64]*proposal // by log index
-	reads     map[uint64]*readIndex
-	nextRead  uint64
-	applied   uint64
-	captured  uint64 // index of the last snapshot
-	// captureEvery is the number of entries between two snapshots.
-	captureEvery uint64
-
-	leading     bool
-	published   *atomic.Bool // leading, for other goroutines
-	confirmedAt time.Time    // last time a quorum confirmed this leader
-	duties      duties
-	handOver    chan struct{}
-	failure     error
+	proposals     map[uint64]*proposal // by log index
+	reads         map[uint64]*readIndex
+	nextRead      uint64
+	applied       uint64
+	snapshotIndex uint64 // index of the last snapshot
+	// entriesPerSnapshot is the number of entries between two snapshots.
+	entriesPerSnapshot uint64
+
+	leading      bool
+	leadingFlag  *atomic.Bool // copy of leading for other goroutines
+	confirmedAt  time.Time    // last time a quorum confirmed this leader
+	tasks        leaderTasks
+	transferDone chan struct{}
+	fatalErr     error
 }
 
-// run handles events until ctx ends or a save fails.
+// run handles events and ticks until ctx ends or an unrecoverable error occurs.
 func (o *owner) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -77,25 +78,26 @@
 	for {
 		select {
 		case next := <-o.inbox:
-			o.batch(time.Now(), next)
+			o.handleBatch(time.Now(), next)
 		case now := <-ticker.C:
 			o.tick(now)
 		case <-ctx.Done():
 			return nil
 		}
 
-		//nolint:contextcheck // the senders of the network outlive one event
+		//nolint:contextcheck // the senders of the network outlive a single event
 		if err := o.process(time.Now()); err != nil {
 			return err
 		}
 	}
 }
 
-// batch handles the waiting events, so that their entries share one fsync.
-func (o *owner) batch(now time.Time, first event) {
+// handleBatch handles the first event and the waiting ones, so that their log
+// entries share one fsync.
+func (o *owner) handleBatch(now time.Time, first event) {
 	first.handle(o, now)
 
-	for range maxBatch {
+	for range maxBatchEvents {
 		select {
 		case next := <-o.inbox:
 			next.handle(o, now)
@@ -105,14 +107,14 @@
 	}
 }
 
-// start continues from what the data directory holds.
+// start restores the state from the data directory and starts the log.
 func (o *owner) start(now time.Time, stored raft.Stored) error {
 	if stored.Snapshot.Index > 0 {
 		if err := o.state.Restore(stored.Snapshot.Data); err != nil {
 			return newError("restore", KindStorage, err)
 		}
 
-		o.applied, o.captured = stored.Snapshot.Index, stored.Snapshot.Index
+		o.applied, o.snapshotIndex = stored.Snapshot.Index, stored.Snapshot.Index
 		o.publish(now)
 	}
 
@@ -124,42 +126,44 @@
 		Generation:       identity.Generation,
 		Random:           o.random,
 		Now:              now,
-		MaxProposalBytes: maxProposal,
+		MaxProposalBytes: maxProposalBytes,
 	}, stored)
 	if err != nil {
 		return newError("start", KindLog, err)
 	}
 
 	o.node = node
-	o.learnAddresses()
+	o.updateAddresses()
 
 	return nil
 }
 
-// process does what the log asks for and publishes the result.
+// process processes the output of the log, runs the tasks of the leader,
+// publishes the views and takes a snapshot if one is due.
 func (o *owner) process(now time.Time) error {
-	if o.failure != nil || o.node == nil {
-		return o.failure
+	if o.fatalErr != nil || o.node == nil {
+		return o.fatalErr
 	}
 
-	if err := o.drain(now); err != nil {
+	if err := o.processReady(now); err != nil {
 		return err
 	}
 
-	o.lead(now)
+	o.runLeaderTasks(now)
 
-	// The leader's own proposals go out at once.
-	if err := o.drain(now); err != nil {
+	// Send the leader's own proposals without waiting for the next event.
+	if err := o.processReady(now); err != nil {
 		return err
 	}
 
 	o.publish(now)
 
-	return o.capture()
+	return o.takeSnapshot()
 }
 
-// drain does what the log asks for, in the order that it prescribes.
-func (o *owner) drain(now time.Time) error {
+// processReady processes the output of the log in the order that raft requires:
+// save, send, apply, answer reads.
+func (o *owner) processReady(now time.Time) error {
 	for ready, ok := o.node.Ready(); ok; ready, ok = o.node.Ready() {
 		if err := o.save(ready); err != nil {
 			return err
@@ -184,8 +188,8 @@
 			return newError("restore", KindStorage, err)
 		}
 
-		o.applied, o.captured = ready.Snapshot.Index, ready.Snapshot.Index
-		o.learnAddresses()
+		o.applied, o.snapshotIndex = ready.Snapshot.Index, ready.Snapshot.Index
+		o.updateAddresses()
 		o.dropProposals()
 	}
 
@@ -200,20 +204,20 @@
 	return nil
 }
 
-// apply applies committed entries and answers the callers that wait for them.
+// apply applies committed entries and replies to the callers that wait for them.
 func (o *owner) apply(now time.Time, entries []raft.Entry) {
 	for _, entry := range entries {
 		o.applied = entry.Index
 
-		var outcome answer
+		var outcome proposalResult
 
 		switch entry.Kind {
 		case wal.EntryCommand:
 			outcome.result = o.state.Apply(entry.Index, entry.Data)
 			countCommand(outcome.result)
-			o.follow(now, outcome.result)
+			o.updateLeases(now, outcome.result)
 		case wal.EntryMembership:
-			o.learnAddresses()
+			o.updateAddresses()
 		}
 
 		waiting, ok := o.proposals[entry.Index]
@@ -223,7 +227,8 @@
 
 		delete(o.proposals, entry.Index)
 
-		// Another entry took the place of the proposal, which is lost for good.
+		// An entry of another term replaced the proposal, which will never be
+		// applied.
 		if waiting.term != entry.Term {
 			outcome.err = o.redirect()
 		}
@@ -236,9 +241,10 @@
 	}
 }
 
-// capture takes a snapshot when enough entries have been applied.
-func (o *owner) capture() error {
-	if o.applied-o.captured < o.captureEvery {
+// takeSnapshot saves a snapshot and compacts the log if enough entries have been
+// applied since the last one.
+func (o *owner) takeSnapshot() error {
+	if o.applied-o.snapshotIndex < o.entriesPerSnapshot {
 		return nil
 	}
 
@@ -260,12 +266,13 @@
 		return newError("compact", KindStorage, err)
 	}
 
-	o.captured = o.applied
+	o.snapshotIndex = o.applied
 
 	return nil
 }
 
-// publish hands new views to the publishers, which ignore known positions.
+// publish passes the current views to the publishers, which ignore positions that
+// they already have.
 func (o *owner) publish(now time.Time) {
 	for environment, publisher := range o.publishers {
 		if current := o.state.View(environment); current != nil {
@@ -274,7 +281,7 @@
 	}
 }
 
-// tick drives what depends on time.
+// tick advances the publishers, the log and the timeouts of proposals.
 func (o *owner) tick(now time.Time) {
 	for _, publisher := range o.publishers {
 		publisher.Tick(now)
@@ -282,48 +289,48 @@
 
 	if o.node != nil {
 		o.node.Tick(now)
-		o.forget(now)
-		o.finishHandOver()
+		o.expireProposals(now)
+		o.finishTransfer()
 	}
 }
 
-// propose appends a command to the log with the leader's time. The answer
-// arrives when the entry is applied.
-func (o *owner) propose(now time.Time, command catalog.Command, reply chan answer) {
+// propose appends a command to the log with the leader's time. The reply is sent
+// when the entry is applied.
+func (o *owner) propose(now time.Time, command catalog.Command, reply chan proposalResult) {
 	if o.node == nil {
-		reply <- answer{err: o.redirect()}
+		reply <- proposalResult{err: o.redirect()}
 
 		return
 	}
 
 	encoded, err := command.Encode(now)
 	if err != nil {
-		reply <- answer{err: link.NewError(link.KindInvalid, err)}
+		reply <- proposalResult{err: link.NewError(link.KindInvalid, err)}
 
 		return
 	}
 
 	index, term, err := o.node.Propose(encoded)
 	if err != nil {
-		reply <- answer{err: o.refusal(err)}
+		reply <- proposalResult{err: o.linkError(err)}
 
 		return
 	}
 
-	o.await(now, index, term, reply)
+	o.trackProposal(now, index, term, reply)
 }
 
-func (o *owner) await(now time.Time, index, term uint64, reply chan answer) {
-	// An entry at this index that was never committed has been overwritten.
+func (o *owner) trackProposal(now time.Time, index, term uint64, reply chan proposalResult) {
+	// An earlier proposal at this index was never committed and is overwritten.
 	if lost, ok := o.proposals[index]; ok {
-		lost.reply <- answer{err: o.redirect()}
+		lost.reply <- proposalResult{err: o.redirect()}
 	}
 
 	o.proposals[index] = &proposal{term: term, at: now, reply: reply}
 }
 
-// refusal translates an error of the log for callers.
-func (o *owner) refusal(err error) error {
+// linkError converts an error of the log to a link error for the caller.
+func (o *owner) linkError(err error) error {
 	var typed *raft.Error
 	if !errors.As(err, &typed) {
 		return link.NewError(link.KindInternal, err)
@@ -339,8 +346,8 @@
 	}
 }
 
-// redirect names the leader. A leader that cannot answer right now names
-// nobody, so that the caller waits.
+// redirect returns an error that redirects the caller to the leader. A leader
+// that cannot answer at the moment gives no address, so that the caller waits.
 func (o *owner) redirect() error {
 	if o.node == nil || o.node.Status().Leader == o.node.Status().Replica {
 		return link.Redirect(netip.AddrPort{})
@@ -349,36 +356,37 @@
 	return redirect(o.node.Status().Leader, o.network)
 }
 
-// dropProposals answers all callers after a snapshot has replaced entries
-// whose results are then unknown. All commands are idempotent, so the callers
-// can ask again.
+// dropProposals redirects all waiting callers after a snapshot has replaced
+// entries, because their results are then unknown. All commands are idempotent,
+// so the callers can retry.
 func (o *owner) dropProposals() {
 	for index, waiting := range o.proposals {
-		waiting.reply <- answer{err: o.redirect()}
+		waiting.reply <- proposalResult{err: o.redirect()}
 
 		delete(o.proposals, index)
 	}
 }
 
-// forget drops what nobody waits for any more.
-func (o *owner) forget(now time.Time) {
+// expireProposals redirects the callers of proposals older than proposalTTL and
+// drops the proposals.
+func (o *owner) expireProposals(now time.Time) {
 	for index, waiting := range o.proposals {
-		if now.Sub(waiting.at) > forgetAfter {
-			waiting.reply <- answer{err: o.redirect()}
+		if now.Sub(waiting.at) > proposalTTL {
+			waiting.reply <- proposalResult{err: o.redirect()}
 
 			delete(o.proposals, index)
 		}
 	}
 }
 
-func (o *owner) learnAddresses() {
+func (o *owner) updateAddresses() {
 	if o.node == nil {
 		return
 	}
 
 	for _, member := range o.node.Status().Members {
 		if address, err := netip.ParseAddrPort(member.Address); err == nil {
-			o.network.learn(member.ID, address)
+			o.network.setAddress(member.ID, address)
 		}
 	}
 }
--- a/internal/program/controller/serve.go
+++ b/internal/program/controller/serve.go
@@ -14,8 +14,8 @@
 	"jayspindle/internal/transport/link"
 )
 
-// register offers the methods of the control links.
-func (c *Controller) register() {
+// registerMethods registers the handlers of the control methods.
+func (c *Controller) registerMethods() {
 	publishers := make([]*rollout.Publisher, 0, len(c.publishers))
 	for _, publisher := range c.publishers {
 		publishers = append(publishers, publisher)
@@ -27,25 +27,26 @@
 	operators := []identity.Role{identity.RoleOperator}
 	controllers := []identity.Role{identity.RoleController}
 
-	c.server.Handle(control.MethodAnnounce, method(instances, c.announce))
-	c.server.Handle(control.MethodRenew, method(instances, c.renew))
-	c.server.Handle(control.MethodLeave, method(instances, c.leave))
-	c.server.Handle(control.MethodSubmit, method(operators, c.submit))
-	c.server.Handle(control.MethodSign, method(operators, c.sign))
-	c.server.Handle(control.MethodReject, method(operators, c.reject))
-	c.server.Handle(control.MethodPromote, method(operators, c.promote))
-	c.server.Handle(control.MethodReplaceOwner, method(operators, c.replaceOwner))
-	c.server.Handle(control.MethodRotateKey, method(operators, c.rotateKey))
-	c.server.Handle(control.MethodStatus, method(operators, c.status))
-	c.server.Handle(control.MethodHistory, method(operators, c.history))
-	c.server.Handle(control.MethodExplain, method(operators, c.explain))
-	c.server.Handle(control.MethodMembers, method(append(operators, controllers...), c.changeMembers))
-	c.server.Handle(control.MethodReadIndex, method(controllers, c.readIndex))
-	c.server.Handle(control.MethodReplicate, method(controllers, c.replicate))
+	c.server.Handle(control.MethodAnnounce, newHandler(instances, c.announce))
+	c.server.Handle(control.MethodRenew, newHandler(instances, c.renew))
+	c.server.Handle(control.MethodLeave, newHandler(instances, c.leave))
+	c.server.Handle(control.MethodSubmit, newHandler(operators, c.submit))
+	c.server.Handle(control.MethodSign, newHandler(operators, c.sign))
+	c.server.Handle(control.MethodReject, newHandler(operators, c.reject))
+	c.server.Handle(control.MethodPromote, newHandler(operators, c.promote))
+	c.server.Handle(control.MethodReplaceOwner, newHandler(operators, c.replaceOwner))
+	c.server.Handle(control.MethodRotateKey, newHandler(operators, c.rotateKey))
+	c.server.Handle(control.MethodStatus, newHandler(operators, c.status))
+	c.server.Handle(control.MethodHistory, newHandler(operators, c.history))
+	c.server.Handle(control.MethodExplain, newHandler(operators, c.explain))
+	c.server.Handle(control.MethodMembers, newHandler(append(operators, controllers...), c.changeMembers))
+	c.server.Handle(control.MethodReadIndex, newHandler(controllers, c.readIndex))
+	c.server.Handle(control.MethodReplicate, newHandler(controllers, c.replicate))
 }
 
-// method decodes a request and checks the caller's role.
-func method[Q any](roles []identity.Role, handler func(ctx context.Context, request Q) (any, error)) link.Handler {
+// newHandler returns a link handler that checks the caller's role and decodes the
+// request.
+func newHandler[Q any](roles []identity.Role, handler func(ctx context.Context, request Q) (any, error)) link.Handler {
 	accept := identity.Policy{Roles: roles}
 
 	return func(ctx context.Context, request *link.Request) (any, error) {
@@ -62,29 +63,30 @@
 	}
 }
 
-// send passes an event to the owner and waits for the answer on its channel.
-func send[A any](ctx context.Context, inbox chan<- event, next event, reply <-chan A) (A, error) {
-	var none A
+// sendEvent sends an event to the owner and waits for the reply. It fails at once
+// if the inbox is full.
+func sendEvent[A any](ctx context.Context, inbox chan<- event, next event, reply <-chan A) (A, error) {
+	var zero A
 
 	select {
 	case inbox <- next:
 	default:
-		return none, link.Errorf(link.KindBusy, "%d events wait already", inboxSize)
+		return zero, link.Errorf(link.KindBusy, "the inbox is full with %d events", inboxSize)
 	}
 
 	select {
 	case result := <-reply:
 		return result, nil
 	case <-ctx.Done():
-		return none, link.NewError(link.KindDeadline, context.Cause(ctx))
+		return zero, link.NewError(link.KindDeadline, context.Cause(ctx))
 	}
 }
 
-// propose runs a command through the log.
-func (c *Controller) propose(ctx context.Context, proposed catalog.Command) (answer, error) {
-	reply := make(chan answer, 1)
+// propose proposes a command and waits until it is applied or refused.
+func (c *Controller) propose(ctx context.Context, proposed catalog.Command) (proposalResult, error) {
+	reply := make(chan proposalResult, 1)
 
-	outcome, err := send(ctx, c.inbox, &command{command: proposed, reply: reply}, reply)
+	outcome, err := sendEvent(ctx, c.inbox, &command{command: proposed, reply: reply}, reply)
 	if err != nil {
 		return outcome, err
 	}
@@ -92,19 +94,19 @@
 	return outcome, outcome.err
 }
 
-// read runs a function with the owner's state once a quorum has confirmed
-// that this controller leads.
-func read[A any](ctx context.Context, c *Controller, look func(o *owner, index uint64) A) (A, error) {
+// readLinearizable runs a query on the owner's state after a quorum has confirmed
+// that this controller is the leader.
+func readLinearizable[A any](ctx context.Context, c *Controller, query func(o *owner, index uint64) A) (A, error) {
 	type outcome struct {
 		value A
 		err   error
 	}
 
 	reply := make(chan outcome, 1)
-	question := &readIndex{lost: func(err error) { reply <- outcome{err: err} }}
-	question.run = func(o *owner, _ time.Time) { reply <- outcome{value: look(o, question.index)} }
+	request := &readIndex{onError: func(err error) { reply <- outcome{err: err} }}
+	request.onConfirmed = func(o *owner, _ time.Time) { reply <- outcome{value: query(o, request.index)} }
 
-	result, err := send(ctx, c.inbox, question, reply)
+	result, err := sendEvent(ctx, c.inbox, request, reply)
 	if err != nil {
 		return result.value, err
 	}
@@ -112,7 +114,7 @@
 	return result.value, result.err
 }
 
-// checkEnvironment refuses an instance of another environment.
+// checkEnvironment returns an error if the caller belongs to another environment.
 func checkEnvironment(ctx context.Context, environment string) error {
 	if err := (identity.Policy{Environment: environment}).Check(link.Peer(ctx)); err != nil {
 		return link.NewError(link.KindDenied, err)
@@ -138,7 +140,7 @@
 	}
 
 	if err := outcome.result.Err(); err != nil {
-		return nil, link.NewError(refusalKind(outcome.result.Kind), err)
+		return nil, link.NewError(linkKind(outcome.result.Kind), err)
 	}
 
 	return control.AnnounceReply{
@@ -154,9 +156,9 @@
 		return nil, err
 	}
 
-	reply := make(chan renewed, 1)
+	reply := make(chan renewResult, 1)
 
-	outcome, err := send(ctx, c.inbox, &renew{request: request, reply: reply}, reply)
+	outcome, err := sendEvent(ctx, c.inbox, &renew{request: request, reply: reply}, reply)
 	if err != nil {
 		return nil, err
 	}
@@ -175,7 +177,7 @@
 	}
 
 	if err := outcome.result.Err(); err != nil {
-		return nil, link.NewError(refusalKind(outcome.result.Kind), err)
+		return nil, link.NewError(linkKind(outcome.result.Kind), err)
 	}
 
 	return control.LeaveReply{Position: outcome.position}, nil
@@ -186,7 +188,7 @@
 		return nil, link.Errorf(link.KindBusy, "the controller is isolated")
 	}
 
-	received := &messages{}
+	received := &receivedMessages{}
 
 	for _, encoded := range request.Messages {
 		message, err := raft.DecodeMessage(encoded)
@@ -194,10 +196,10 @@
 			return nil, link.NewError(link.KindInvalid, err)
 		}
 
-		received.list = append(received.list, *message)
+		received.messages = append(received.messages, *message)
 	}
 
-	c.network.learn(raft.ReplicaID(request.Replica), request.Address)
+	c.network.setAddress(raft.ReplicaID(request.Replica), request.Address)
 
 	select {
 	case c.inbox <- received:
@@ -212,13 +214,13 @@
 		return nil, link.Errorf(link.KindBusy, "the controller is isolated")
 	}
 
-	index, err := read(ctx, c, func(_ *owner, index uint64) uint64 { return index })
+	index, err := readLinearizable(ctx, c, func(_ *owner, index uint64) uint64 { return index })
 
 	return control.ReadIndexReply{Index: index}, err
 }
 
 func (c *Controller) changeMembers(ctx context.Context, request control.Members) (any, error) {
-	// A controller can add and promote itself; removal is up to the operators.
+	// Controllers add and promote themselves. Only operators may remove members.
 	peer := link.Peer(ctx)
 	if peer.Role == identity.RoleController && request.Action == control.MembersRemove {
 		return nil, link.Errorf(link.KindDenied, "%s may not remove members", peer)
@@ -227,12 +229,12 @@
 	if request.Action == control.MembersHere {
 		reply := make(chan control.MembersReply, 1)
 
-		return send(ctx, c.inbox, &listMembers{reply: reply}, reply)
+		return sendEvent(ctx, c.inbox, &listMembers{reply: reply}, reply)
 	}
 
-	reply := make(chan answer, 1)
+	reply := make(chan proposalResult, 1)
 
-	outcome, err := send(ctx, c.inbox, &changeMembers{request: request, reply: reply}, reply)
+	outcome, err := sendEvent(ctx, c.inbox, &changeMembers{request: request, reply: reply}, reply)
 	if err != nil {
 		return nil, err
 	}
@@ -241,22 +243,24 @@
 		return nil, outcome.err
 	}
 
-	listed, err := read(ctx, c, func(o *owner, _ uint64) control.MembersReply { return o.members() })
+	membersReply, err := readLinearizable(ctx, c, func(o *owner, _ uint64) control.MembersReply { return o.members() })
 	if err != nil {
 		return nil, err
 	}
 
-	if known, _ := membership(listed, request.Member.Replica); request.Action == control.MembersAdd && !known {
-		return nil, link.Errorf(link.KindBusy, "the former replica at %s was removed, ask again", request.Member.Address)
+	if listed, _ := findMember(membersReply, request.Member.Replica); request.Action == control.MembersAdd && !listed {
+		return nil, link.Errorf(link.KindBusy, "the former replica at %s was removed, retry to add the new one",
+			request.Member.Address)
 	}
 
-	return listed, nil
+	return membersReply, nil
 }
 
-// followReads confirms the views of a follower: the leader's read index has
-// been applied here. An isolated controller gets no answer, so its subscribers
-// learn that its views are unconfirmed.
-func (c *Controller) followReads(ctx context.Context) {
+// confirmViews periodically confirms the views of a follower: it asks the leader
+// for its read index and waits until the follower has applied it. An isolated
+// controller gets no reply, so its subscribers see that its views are
+// unconfirmed.
+func (c *Controller) confirmViews(ctx context.Context) {
 	peers, err := c.settings.peers()
 	if err != nil || len(peers) == 0 {
 		return
@@ -270,19 +274,19 @@
 			continue
 		}
 
-		if err := c.followRead(ctx, client); err != nil {
-			c.logger.Debug("the views are not confirmed", "error", err)
+		if err := c.confirmViewsOnce(ctx, client); err != nil {
+			c.logger.Debug("could not confirm the views", "error", err)
 		}
 	}
 }
 
-func (c *Controller) followRead(ctx context.Context, client *link.Client) error {
-	ctx, cancel := context.WithTimeout(ctx, enterTimeout)
+func (c *Controller) confirmViewsOnce(ctx context.Context, client *link.Client) error {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 
 	var reply control.ReadIndexReply
 
-	asked := time.Now()
+	requestedAt := time.Now()
 	if err := client.Call(ctx, control.MethodReadIndex, control.ReadIndex{}, &reply); err != nil {
 		return err
 	}
@@ -290,7 +294,7 @@
 	for ctx.Err() == nil {
 		done := make(chan bool, 1)
 
-		applied, err := send(ctx, c.inbox, &caughtUp{index: reply.Index, at: asked, reply: done}, done)
+		applied, err := sendEvent(ctx, c.inbox, &confirmApplied{index: reply.Index, at: requestedAt, reply: done}, done)
 		if err != nil || applied {
 			return err
 		}
--- a/internal/program/controller/settings.go
+++ b/internal/program/controller/settings.go
@@ -12,16 +12,16 @@
 	"jayspindle/internal/transport/identity"
 )
 
-// Settings configures a controller. Bootstrap and Owners are only used while
-// the data directory is new: exactly one controller of a new group has
-// Bootstrap set, all others join it through Peers.
+// Settings configures a controller. Bootstrap and Owners are used only while the
+// data directory is new. Exactly one controller of a new group has Bootstrap
+// set; all others join it through Peers.
 type Settings struct {
 	Name      string         `yaml:"name" validate:"required,max=63"`
 	Data      string         `yaml:"data" validate:"required"`                   // directory
-	Listen    netip.AddrPort `yaml:"listen" validate:"required"`                 // UDP, as the others reach it
+	Listen    netip.AddrPort `yaml:"listen" validate:"required"`                 // UDP, reachable by the peers
 	Peers     []string       `yaml:"peers" validate:"max=20,dive,hostname_port"` // the other controllers
 	Identity  identity.Files `yaml:"identity" validate:"required"`
-	Bootstrap bool           `yaml:"bootstrap"` // found a group
+	Bootstrap bool           `yaml:"bootstrap"` // create a new group
 	Owners    []Owner        `yaml:"owners" validate:"required_if=Bootstrap true,omitempty,len=2,dive"`
 	Debug     string         `yaml:"debug" validate:"omitempty,hostname_port"` // TCP on loopback, expvar
 	// SnapshotEntries is the number of applied log entries between two
@@ -29,7 +29,7 @@
 	SnapshotEntries uint64 `yaml:"snapshot_entries" validate:"max=50000"`
 }
 
-// Owner is a founding co-owner.
+// Owner is one of the two owners that a new group starts with.
 type Owner struct {
 	Name string `yaml:"name" validate:"required,max=63"`
 	Key  string `yaml:"key" validate:"required"` // "ed25519:BASE64"
@@ -53,7 +53,7 @@
 	}
 
 	if !s.Listen.IsValid() || s.Listen.Addr().IsUnspecified() {
-		return newError("check", KindSettings, errors.Errorf("listen is %s, but others must be able to reach it", s.Listen))
+		return newError("check", KindSettings, errors.Errorf("listen is %s, but must be reachable by others", s.Listen))
 	}
 
 	if _, err := s.peers(); err != nil {
@@ -63,12 +63,12 @@
 	if s.Debug != "" {
 		debug, err := netip.ParseAddrPort(s.Debug)
 		if err != nil || !debug.Addr().IsLoopback() {
-			return newError("check", KindSettings, errors.Errorf("debug is %q, allowed is a loopback address", s.Debug))
+			return newError("check", KindSettings, errors.Errorf("debug is %q, but must be a loopback address", s.Debug))
 		}
 	}
 
 	if s.Bootstrap {
-		_, err := s.founders()
+		_, err := s.foundingOwners()
 
 		return err
 	}
@@ -94,8 +94,8 @@
 	return peers, nil
 }
 
-// founders returns the founding owners.
-func (s Settings) founders() ([2]catalog.Owner, error) {
+// foundingOwners returns the owners that a new group starts with.
+func (s Settings) foundingOwners() ([2]catalog.Owner, error) {
 	var owners [2]catalog.Owner
 
 	if len(s.Owners) != len(owners) {
