--- a/internal/program/member/member.go
+++ b/internal/program/member/member.go
@@ -1,5 +1,6 @@
-// Package member keeps an agent or a balancer in its environment: it announces
-// the instance, renews its lease and follows the views of the environment.
+// Package member maintains the membership of an agent or a balancer in its
+// environment: it announces the instance, renews its lease and subscribes to the
+// views of the environment.
 //
 // # Usage
 //
@@ -10,8 +11,8 @@
 //	}
 //	current := member.View()
 //
-// A restarted instance without a disk has no view until a controller or relay
-// has given it one. While control is unreachable the last view stays in force.
+// A restarted instance without a disk has no view until a controller or a relay
+// sends it one. While neither is reachable, the last view stays in force.
 package member
 
 import (
@@ -35,15 +36,15 @@
 )
 
 const (
-	// renewInterval gives a lease of 3 s three chances to be renewed.
+	// renewInterval allows three attempts to renew a lease of 3 s.
 	renewInterval = time.Second
-	// renewTimeout gives up on a lost renewal in time for the next one.
+	// renewTimeout ends a renewal without a reply before the next one is due.
 	renewTimeout = renewInterval
 	callTimeout  = 2 * time.Second
 	bootIDLength = 16
 )
 
-// Options are the dependencies of a member.
+// Options holds the settings and dependencies of a member.
 type Options struct {
 	Environment string
 	Upstreams   []netip.AddrPort // controllers or relays, in order of preference
@@ -52,7 +53,7 @@
 	// role needs it.
 	Announce func(bootID []byte) control.Announce
 	Load     func() uint8     // percent of the slots in use
-	Sink     rollout.Sink     // optional; a relay's publisher
+	Sink     rollout.Sink     // optional, such as the publisher of a relay
 	OnView   func(*view.View) // called for each view that is put into force
 	Logger   *slog.Logger
 	Random   *mathrand.Rand // seeds the jitter of links
@@ -61,9 +62,9 @@
 // Member is the membership of one instance.
 type Member struct {
 	options     Options
-	calls       caller
+	client      controlClient
 	bootID      []byte
-	current     atomic.Pointer[inForce]
+	current     atomic.Pointer[appliedView]
 	confirmed   atomic.Int64 // Unix nanoseconds
 	incarnation atomic.Uint32
 	ready       chan struct{} // closed once a view contains the instance
@@ -71,16 +72,16 @@
 	replaced    chan struct{} // closed when another incarnation was assigned
 }
 
-// caller calls the controllers.
-type caller interface {
+// controlClient calls the methods of the controllers.
+type controlClient interface {
 	Call(ctx context.Context, method string, request, reply any) error
 	Close()
 }
 
-// inForce is a view and the time since which it is in force.
-type inForce struct {
-	view  *view.View
-	since time.Time
+// appliedView is a view and the time at which it was put into force.
+type appliedView struct {
+	view      *view.View
+	appliedAt time.Time
 }
 
 // New returns a member that is not announced yet.
@@ -90,7 +91,7 @@
 
 	return &Member{
 		options:  options,
-		calls:    newClient(options, options.Upstreams),
+		client:   newClient(options, options.Upstreams),
 		bootID:   bootID,
 		ready:    make(chan struct{}),
 		replaced: make(chan struct{}),
@@ -109,7 +110,8 @@
 	})
 }
 
-// Run announces, renews and follows until the context ends.
+// Run announces the instance, renews its lease and subscribes to views until ctx
+// ends.
 func (m *Member) Run(ctx context.Context) {
 	var group conc.WaitGroup
 
@@ -137,12 +139,13 @@
 	}
 }
 
-// Close closes the link for calls. Leave cannot be called afterwards.
-func (m *Member) Close() { m.calls.Close() }
+// Close closes the link that Leave and the renewals use. Leave must not be called
+// afterwards.
+func (m *Member) Close() { m.client.Close() }
 
 // Apply puts a view into force. It implements rollout.Sink.
 func (m *Member) Apply(now time.Time, next *view.View) {
-	m.current.Store(&inForce{view: next, since: now})
+	m.current.Store(&appliedView{view: next, appliedAt: now})
 	m.options.Logger.Info("view in force", "position", next.Position().String(), "version", next.Version(),
 		"services", len(next.Services()), "agents", len(next.Agents()), "balancers", len(next.Balancers()))
 
@@ -157,7 +160,7 @@
 	m.checkReady()
 }
 
-// Confirm records when a leader last confirmed the view. It implements
+// Confirm records when a leader last confirmed the view in force. It implements
 // rollout.Sink.
 func (m *Member) Confirm(at time.Time) {
 	m.confirmed.Store(at.UnixNano())
@@ -172,8 +175,8 @@
 	return now.Sub(time.Unix(0, m.confirmed.Load())) <= rollout.ConfirmationLimit
 }
 
-// checkReady waits for a view that contains the instance: an older one may lack
-// its service or its keys.
+// checkReady releases Wait once the view in force contains the instance. An older
+// view may lack its service or its keys.
 func (m *Member) checkReady() {
 	current, own := m.View(), m.Incarnation()
 	if current == nil || own == 0 {
@@ -198,7 +201,8 @@
 	}
 }
 
-// View returns the view in force. It is nil before Wait has returned.
+// View returns the view in force, or nil if there is none yet. There is one once
+// Wait has returned without an error.
 func (m *Member) View() *view.View {
 	current := m.current.Load()
 	if current == nil {
@@ -208,34 +212,37 @@
 	return current.view
 }
 
-// Incarnation returns the incarnation of the instance, 0 before Wait has returned.
+// Incarnation returns the incarnation of the instance, or 0 if none is assigned
+// yet. One is assigned once Wait has returned without an error.
 func (m *Member) Incarnation() view.Incarnation { return view.Incarnation(m.incarnation.Load()) }
 
-// Replaced is closed when the instance was forgotten, after an hour without a
-// lease, and got another incarnation. Its flows and claims belong to the former
-// one, so the program must start anew.
+// Replaced returns a channel that is closed when the controllers have assigned
+// another incarnation, because they drop an instance after an hour without a
+// lease. Its flows and claims belong to the former incarnation, so the program
+// must restart.
 func (m *Member) Replaced() <-chan struct{} { return m.replaced }
 
-// keepLease announces the instance and renews its lease. An instance that is
-// no longer known, for example after it was cut off for longer than the lease,
-// announces again with the same boot ID and keeps its incarnation.
+// keepLease announces the instance and renews its lease. If the controllers no
+// longer know the lease, for example after a network partition longer than the
+// lease, it announces the instance again with the same boot ID, which keeps the
+// incarnation.
 func (m *Member) keepLease(ctx context.Context) {
 	ticker := time.NewTicker(renewInterval)
 	defer ticker.Stop()
 
-	known := false
+	announced := false
 
 	for {
 		var err error
 
-		if known {
-			known, err = m.renew(ctx)
+		if announced {
+			announced, err = m.renew(ctx)
 		} else {
-			known, err = m.announce(ctx)
+			announced, err = m.announce(ctx)
 		}
 
 		if err != nil && ctx.Err() == nil {
-			m.options.Logger.Warn("lease not kept", "known", known, "error", err)
+			m.options.Logger.Warn("lease not kept", "known", announced, "error", err)
 		}
 
 		select {
@@ -252,15 +259,15 @@
 	}
 }
 
-// announce reports whether the instance is known afterwards.
+// announce announces the instance and reports whether it now has a lease.
 func (m *Member) announce(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
-	announce := m.options.Announce(m.bootID)
+	request := m.options.Announce(m.bootID)
 
 	var reply control.AnnounceReply
-	if err := m.calls.Call(ctx, control.MethodAnnounce, &announce, &reply); err != nil {
+	if err := m.client.Call(ctx, control.MethodAnnounce, &request, &reply); err != nil {
 		return false, errors.Trace(err)
 	}
 
@@ -269,7 +276,7 @@
 		close(m.replaced)
 
 		return false, newError("announce", KindReplaced,
-			errors.Errorf("incarnation %d was forgotten, %d is assigned", previous, reply.Incarnation))
+			errors.Errorf("incarnation %d was dropped, %d is assigned", previous, reply.Incarnation))
 	}
 
 	m.incarnation.Store(uint32(reply.Incarnation))
@@ -279,8 +286,8 @@
 	return true, nil
 }
 
-// renew reports whether the instance is still known. An error of the link says
-// nothing about that.
+// renew renews the lease and reports whether the controllers still know it. A
+// link error does not tell, so the instance then counts as known.
 func (m *Member) renew(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
@@ -288,27 +295,27 @@
 	renewal := control.Renewal{Incarnation: m.Incarnation(), Load: m.options.Load()}
 	if current := m.current.Load(); current != nil {
 		renewal.Position = current.view.Position()
-		renewal.Since = time.Since(current.since)
+		renewal.Since = time.Since(current.appliedAt)
 	}
 
 	var reply control.RenewReply
 
 	request := control.Renew{Environment: m.options.Environment, Renewals: []control.Renewal{renewal}}
-	if err := m.calls.Call(ctx, control.MethodRenew, &request, &reply); err != nil {
+	if err := m.client.Call(ctx, control.MethodRenew, &request, &reply); err != nil {
 		return true, errors.Trace(err)
 	}
 
 	return len(reply.Unknown) == 0, nil
 }
 
-// Leave tells the controllers that the instance drains or is gone.
+// Leave tells the controllers that the instance is draining or has stopped.
 func (m *Member) Leave(ctx context.Context, phase control.Phase) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
-	leave := control.Leave{Environment: m.options.Environment, Incarnation: m.Incarnation(), Phase: phase}
+	request := control.Leave{Environment: m.options.Environment, Incarnation: m.Incarnation(), Phase: phase}
 
 	var reply control.LeaveReply
 
-	return errors.Trace(m.calls.Call(ctx, control.MethodLeave, &leave, &reply))
+	return errors.Trace(m.client.Call(ctx, control.MethodLeave, &request, &reply))
 }
--- a/internal/program/member/member_test.go
+++ b/internal/program/member/member_test.go
@@ -14,15 +14,16 @@
 	"jayspindle/internal/transport/link"
 )
 
-// controllers assigns incarnations in turn and forgets the instance once.
-type controllers struct {
-	assigned []view.Incarnation
-	renewals int
-	lost     int // replies to renewals that are lost first
-	forgets  int // the renewal at which the instance is not known
+// fakeControllers assigns the given incarnations in order, the last one
+// repeatedly, and reports the instance as unknown once.
+type fakeControllers struct {
+	assigned    []view.Incarnation
+	renewals    int
+	lostReplies int // number of renewals, from the first on, whose replies are lost
+	unknownAt   int // number of the renewal at which the instance is unknown
 }
 
-func (c *controllers) Call(ctx context.Context, method string, _, reply any) error {
+func (c *fakeControllers) Call(ctx context.Context, method string, _, reply any) error {
 	if method == control.MethodAnnounce {
 		reply.(*control.AnnounceReply).Incarnation = c.assigned[0]
 		c.assigned = c.assigned[min(1, len(c.assigned)-1):]
@@ -30,24 +31,24 @@
 		return nil
 	}
 
-	if c.renewals++; c.renewals <= c.lost {
+	if c.renewals++; c.renewals <= c.lostReplies {
 		<-ctx.Done()
 
 		return link.Errorf(link.KindDeadline, "lost")
 	}
 
-	if c.renewals == c.forgets {
+	if c.renewals == c.unknownAt {
 		reply.(*control.RenewReply).Unknown = []view.Incarnation{1}
 	}
 
 	return nil
 }
 
-func (*controllers) Close() {}
+func (*fakeControllers) Close() {}
 
-// keep keeps a lease for ten seconds and returns the incarnation and whether it
-// was replaced.
-func keep(t *testing.T, upstream *controllers) (incarnation view.Incarnation, replaced bool) {
+// runKeepLease runs keepLease for ten seconds and returns the incarnation and
+// whether it was replaced.
+func runKeepLease(t *testing.T, upstream *fakeControllers) (incarnation view.Incarnation, replaced bool) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		m := &Member{
@@ -55,7 +56,7 @@
 				Announce: func([]byte) control.Announce { return control.Announce{} },
 				Load:     func() uint8 { return 0 }, Logger: slog.New(slog.DiscardHandler),
 			},
-			calls: upstream, ready: make(chan struct{}), replaced: make(chan struct{}),
+			client: upstream, ready: make(chan struct{}), replaced: make(chan struct{}),
 		}
 
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -77,11 +78,11 @@
 
 func TestKeepLease(t *testing.T) {
 	// Guards against a lease that ends after one lost reply, and against a lost
-	// reply that is taken for "not known".
+	// reply that counts as "unknown instance".
 	t.Run("lost replies", func(t *testing.T) {
 		is := is.New(t)
-		upstream := &controllers{assigned: []view.Incarnation{1, 2}, lost: 2}
-		incarnation, replaced := keep(t, upstream)
+		upstream := &fakeControllers{assigned: []view.Incarnation{1, 2}, lostReplies: 2}
+		incarnation, replaced := runKeepLease(t, upstream)
 		is.Equal(incarnation, view.Incarnation(1))
 		is.True(!replaced)
 		is.True(upstream.renewals >= 9) // one each second, also after lost ones
@@ -89,14 +90,15 @@
 
 	// Guards against an instance that does not resume after a suspension.
 	t.Run("resumed", func(t *testing.T) {
-		incarnation, replaced := keep(t, &controllers{assigned: []view.Incarnation{1, 1}, forgets: 3})
+		incarnation, replaced := runKeepLease(t, &fakeControllers{assigned: []view.Incarnation{1, 1}, unknownAt: 3})
 		is.New(t).True(incarnation == 1 && !replaced)
 	})
 
-	// Guards against an instance that goes on under an incarnation that was
-	// forgotten: nothing would reach it, and its claims would have another owner.
+	// Guards against an instance that continues with an incarnation that the
+	// controllers have dropped: no packet would reach it, and its claims would
+	// have another owner.
 	t.Run("forgotten", func(t *testing.T) {
-		incarnation, replaced := keep(t, &controllers{assigned: []view.Incarnation{1, 2}, forgets: 3})
+		incarnation, replaced := runKeepLease(t, &fakeControllers{assigned: []view.Incarnation{1, 2}, unknownAt: 3})
 		is.New(t).True(incarnation == 1 && replaced)
 	})
 }
