--- a/internal/program/controller/controller.go
+++ b/internal/program/controller/controller.go
@@ -235,7 +235,7 @@
 	owner := &owner{
 		name:               c.settings.Name,
 		address:            c.server.Address(),
-		founding:           c.settings.Bootstrap,
+		bootstrap:          c.settings.Bootstrap,
 		leadingFlag:        c.leading,
 		entriesPerSnapshot: cmp.Or(c.settings.SnapshotEntries, defaultSnapshotEntries),
 		logger:             c.logger,
--- a/internal/program/controller/controller_test.go
+++ b/internal/program/controller/controller_test.go
@@ -64,12 +64,12 @@
 	operator := g.operator()
 	first := newDocument(g.owners["ann"].PublicKey(), 3)
 	follower := g.follower()
-	subscriber := g.subscribe(g.running[follower])
+	subscriber := g.subscribe(g.instances[follower])
 
 	g.acceptDocument(operator, 0, "change-1", first)
 	g.eventually("version 1 is in force at a subscriber of a follower", func() bool { return subscriber.version() == 1 })
 
-	former := g.running[g.leader()]
+	former := g.instances[g.leader()]
 	is.True(former.Leading())
 	is.NoErr(former.stop())
 	is.True(!former.Leading()) // it transferred leadership before it stopped
@@ -98,8 +98,8 @@
 	g := newGroup(t, 3)
 	g.acceptDocument(g.operator(), 0, "change-1", newDocument(g.owners["ann"].PublicKey(), 3))
 
-	former := g.running[0].replica()
-	is.NoErr(g.running[0].stop())
+	former := g.instances[0].replica()
+	is.NoErr(g.instances[0].stop())
 	is.NoErr(os.RemoveAll(g.settings[0].Data))
 
 	// Bootstrap is still set, as it was when the group was created.
@@ -134,8 +134,8 @@
 			is := is.New(t)
 			g := newGroup(t, 3)
 			chosen := pick(g)
-			isolated, others := g.running[chosen], g.running[(chosen+1)%3]
-			third := g.running[(chosen+2)%3]
+			isolated, others := g.instances[chosen], g.instances[(chosen+1)%3]
+			third := g.instances[(chosen+2)%3]
 			isolated.network.isolate(true)
 			g.eventually("one of the other controllers leads", func() bool {
 				return g.leaderAmong(others, third)
@@ -196,7 +196,7 @@
 	replies := make(chan control.ChangeReply, 2)
 
 	for i, author := range []string{"ann", "bob"} {
-		operator := g.operator(g.running[i])
+		operator := g.operator(g.instances[i])
 
 		go func() {
 			content := newDocument(g.owners["ann"].PublicKey(), 3+i)
@@ -225,7 +225,7 @@
 	service := g.owners["ann"]
 	g.acceptDocument(operator, 0, "change-1", newDocument(service.PublicKey(), 3))
 
-	subscriber := g.subscribe(g.running[0])
+	subscriber := g.subscribe(g.instances[0])
 	agent := g.client(identity.Identity{Role: identity.RoleAgent, Environment: "trial", Name: "a", Service: "crew-link"})
 	announce := control.Announce{
 		Environment: catalog.Trial, Role: control.RoleAgent, Service: "crew-link", Zone: "kokura",
@@ -302,9 +302,9 @@
 	for version := range uint64(6) {
 		g.acceptDocument(operator, version, fmt.Sprint("change-", version),
 			newDocument(g.owners["ann"].PublicKey(), 3+int(version)))
-		is.NoErr(g.running[0].stop())
+		is.NoErr(g.instances[0].stop())
 
-		g.running[0] = g.start(g.settings[0])
+		g.instances[0] = g.start(g.settings[0])
 	}
 
 	status, err := operator.Status(g.ctx, catalog.Trial)
--- a/internal/program/controller/fixture_test.go
+++ b/internal/program/controller/fixture_test.go
@@ -34,7 +34,7 @@
 	authority *identity.Authority
 	owners    map[string]*identity.PrivateKey
 	settings  []Settings
-	running   []*instance
+	instances []*instance
 	issued    int
 }
 
@@ -91,12 +91,12 @@
 
 	for i := range size {
 		g.settings[i].Peers = peers
-		g.running = append(g.running, g.start(g.settings[i]))
+		g.instances = append(g.instances, g.start(g.settings[i]))
 	}
 
-	g.waitVoters(size)
+	g.waitForVoters(size)
 	g.eventually("all controllers hold the state", func() bool {
-		for _, started := range g.running {
+		for _, started := range g.instances {
 			if snapshot, _ := started.Publisher(catalog.Trial).Snapshot(); snapshot.View() == nil {
 				return false
 			}
@@ -195,7 +195,7 @@
 	}
 }
 
-func (g *testGroup) waitVoters(count int) {
+func (g *testGroup) waitForVoters(count int) {
 	g.t.Helper()
 
 	operator := g.operator()
--- a/internal/program/controller/join.go
+++ b/internal/program/controller/join.go
@@ -29,7 +29,7 @@
 // bootstrapOrJoin makes a new replica a member of a group, which it creates or
 // joins, and gets a learner promoted to a voter.
 func (c *Controller) bootstrapOrJoin(ctx context.Context, owner *owner, fail context.CancelCauseFunc) {
-	if owner.founding && c.initialIdentity.Cluster == 0 {
+	if owner.bootstrap && c.initialIdentity.Cluster == 0 {
 		if err := c.checkBootstrap(ctx); err != nil {
 			fail(err)
 
--- a/internal/program/controller/lead.go
+++ b/internal/program/controller/lead.go
@@ -232,9 +232,9 @@
 
 // proposeAsLeader proposes a command on behalf of the leader itself and reports
 // whether the log accepted it. If not, a later run of the task retries it.
-func (o *owner) proposeAsLeader(now time.Time, own catalog.Command) bool {
+func (o *owner) proposeAsLeader(now time.Time, proposed catalog.Command) bool {
 	reply := make(chan proposalResult, 1)
-	o.propose(now, own, reply)
+	o.propose(now, proposed, reply)
 
 	select {
 	case refused := <-reply:
--- a/internal/program/controller/members.go
+++ b/internal/program/controller/members.go
@@ -100,7 +100,7 @@
 func (l *listMembers) handle(o *owner, _ time.Time) { l.reply <- o.members() }
 
 func (o *owner) members() control.MembersReply {
-	reply := control.MembersReply{Leader: o.name, Founding: o.founding && o.node == nil}
+	reply := control.MembersReply{Leader: o.name, Founding: o.bootstrap && o.node == nil}
 	if o.node == nil {
 		return reply
 	}
--- a/internal/program/controller/operate.go
+++ b/internal/program/controller/operate.go
@@ -158,12 +158,12 @@
 // instances returns up to control.MaxInstances members with an incarnation above
 // after, in the order of their incarnations.
 func (o *owner) instances(now time.Time, current *view.View, after view.Incarnation) []control.Instance {
-	var all []control.Instance
+	var instances []control.Instance
 
 	for _, agent := range current.Agents() {
 		if agent.Incarnation > after {
 			service, _ := current.Service(agent.Service)
-			all = append(all, control.Instance{
+			instances = append(instances, control.Instance{
 				Incarnation: agent.Incarnation, Role: control.RoleAgent, Service: service.Name, Zone: agent.Zone,
 				Data: agent.Data, State: agent.State, Weight: agent.Weight,
 			})
@@ -172,21 +172,21 @@
 
 	for _, balancer := range current.Balancers() {
 		if balancer.Incarnation > after {
-			all = append(all, control.Instance{
+			instances = append(instances, control.Instance{
 				Incarnation: balancer.Incarnation, Role: control.RoleBalancer, Zone: balancer.Zone,
 				Data: balancer.Data, State: balancer.State,
 			})
 		}
 	}
 
-	slices.SortFunc(all, func(a, b control.Instance) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
-	all = all[:min(len(all), control.MaxInstances)]
+	slices.SortFunc(instances, func(a, b control.Instance) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
+	instances = instances[:min(len(instances), control.MaxInstances)]
 
-	for i := range all {
-		o.addLeaseStatus(now, current.Environment(), &all[i])
+	for i := range instances {
+		o.addLeaseStatus(now, current.Environment(), &instances[i])
 	}
 
-	return all
+	return instances
 }
 
 // addLeaseStatus adds the data of the last renewal that this leader received from
--- a/internal/program/controller/owner.go
+++ b/internal/program/controller/owner.go
@@ -43,7 +43,7 @@
 type owner struct {
 	name       string
 	address    netip.AddrPort
-	founding   bool
+	bootstrap  bool
 	logger     *slog.Logger
 	log        *wal.Log
 	random     *rand.Rand
@@ -322,8 +322,8 @@
 
 func (o *owner) trackProposal(now time.Time, index, term uint64, reply chan proposalResult) {
 	// An earlier proposal at this index was never committed and is overwritten.
-	if lost, ok := o.proposals[index]; ok {
-		lost.reply <- proposalResult{err: o.redirect()}
+	if overwritten, ok := o.proposals[index]; ok {
+		overwritten.reply <- proposalResult{err: o.redirect()}
 	}
 
 	o.proposals[index] = &proposal{term: term, at: now, reply: reply}
