--- a/internal/program/registry/keeper_test.go
+++ b/internal/program/registry/checkpoints_test.go
@@ -15,21 +15,20 @@
 	"jayspindle/internal/transport/frag"
 )
 
-// correspondent sends messages to controllers and keeps the newest answer of
-// each kind.
-type correspondent struct {
+// client sends messages to controllers and keeps the newest answer of each kind.
+type client struct {
 	conn    *frag.Conn
 	mutex   sync.Mutex
 	answers map[wire.Kind][]byte
 }
 
-func newCorrespondent(t *testing.T, address netip.AddrPort) *correspondent {
+func newClient(t *testing.T, address netip.AddrPort) *client {
 	t.Helper()
 
 	conn, err := frag.Listen(address, slog.New(slog.DiscardHandler))
 	is.New(t).NoErr(err)
 
-	c := &correspondent{conn: conn, answers: make(map[wire.Kind][]byte)}
+	c := &client{conn: conn, answers: make(map[wire.Kind][]byte)}
 
 	go conn.Serve(func(_ netip.AddrPort, message []byte) {
 		kind, body, _ := wire.Split(message)
@@ -44,8 +43,8 @@
 	return c
 }
 
-// send sends a message and returns the newest answer of a kind, or nil.
-func (c *correspondent) send(to flow.Endpoint, message []byte, kind wire.Kind) []byte {
+// request sends a message and returns the newest answer of a kind, or nil.
+func (c *client) request(to flow.Endpoint, message []byte, kind wire.Kind) []byte {
 	if c.conn.Send(to.AddrPort(), message) != nil {
 		return nil
 	}
@@ -60,19 +59,19 @@
 	return answer
 }
 
-// TestCheckpoints guards against flows that controllers forget when all of them
-// stop, and against an acknowledgement of flows that the disk does not have.
+// TestCheckpoints guards against controllers that forget flows when all of them
+// stop, and against acknowledging flows that are not on disk.
 func TestCheckpoints(t *testing.T) {
-	c := newControllers(t)
-	c.found(1)
+	c := newCluster(t)
+	c.bootstrap(1)
 
-	agent := newCorrespondent(t, c.address(99).AddrPort())
+	agent := newClient(t, c.address(99).AddrPort())
 	batch := checkpoint.Batch{Agent: c.address(99), Born: 5, Epoch: 6, To: 7, Opened: []checkpoint.Flow{
 		{Key: flow.Key{Client: c.address(1), Service: c.address(2)}, Acknowledged: 8},
 	}}
 
 	c.eventually("the checkpoint is acknowledged", func() bool {
-		answer := agent.send(c.address(1), batch.Append([]byte{byte(wire.KindCheckpoint)}), wire.KindCheckpointed)
+		answer := agent.request(c.address(1), batch.Append([]byte{byte(wire.KindCheckpoint)}), wire.KindCheckpointed)
 		if answer == nil {
 			return false
 		}
@@ -90,7 +89,7 @@
 	c.is.NoErr(err)
 
 	c.eventually("the flows are recalled", func() bool {
-		answer := agent.send(c.address(1), recall, wire.KindRecalled)
+		answer := agent.request(c.address(1), recall, wire.KindRecalled)
 		if answer == nil {
 			return false
 		}
@@ -107,7 +106,7 @@
 		c.is.NoErr(err)
 
 		c.eventually("there is an answer", func() bool {
-			answer := agent.send(c.address(1), other, wire.KindRecalled)
+			answer := agent.request(c.address(1), other, wire.KindRecalled)
 
 			return answer != nil && len(answer) == 0
 		})
@@ -115,19 +114,20 @@
 }
 
 // TestCall guards against instances that wait for their seeds although another
-// controller is there: after a restart a controller calls those that polled before.
+// controller is running: after a restart a controller notifies the instances that
+// polled it before.
 func TestCall(t *testing.T) {
-	c := newControllers(t)
-	c.found(1)
+	c := newCluster(t)
+	c.bootstrap(1)
 
-	instance := newCorrespondent(t, c.address(99).AddrPort())
+	instance := newClient(t, c.address(99).AddrPort())
 	poll, err := wire.Encode(wire.KindPoll, wire.Poll{})
 	c.is.NoErr(err)
 
 	c.eventually("the poll is answered", func() bool {
-		return instance.send(c.address(1), poll, wire.KindPollReply) != nil
+		return instance.request(c.address(1), poll, wire.KindPollReply) != nil
 	})
-	time.Sleep(1500 * time.Millisecond) // until the controller has written it down
+	time.Sleep(1500 * time.Millisecond) // until the controller has saved the instance
 	c.kill(1)
 
 	instance.mutex.Lock()
@@ -135,12 +135,12 @@
 	instance.mutex.Unlock()
 
 	c.start(1, "1", false)
-	c.eventually("the controller calls", func() bool {
+	c.eventually("the controller notifies the instance", func() bool {
 		instance.mutex.Lock()
 		defer instance.mutex.Unlock()
 
-		_, called := instance.answers[wire.KindNews]
+		_, notified := instance.answers[wire.KindNews]
 
-		return called
+		return notified
 	})
 }
--- a/internal/program/registry/contacts.go
+++ b/internal/program/registry/contacts.go
@@ -10,75 +10,77 @@
 const (
 	contactsFile = "instances"
 
-	// silentContact is how long an instance has to be silent before a controller
-	// calls it: two polls and a half.
-	silentContact = time.Second
+	// contactSilenceTimeout is how long an instance must be silent before a
+	// controller notifies it: two and a half poll intervals.
+	contactSilenceTimeout = time.Second
 
-	// callInterval is how often a silent instance is called.
-	callInterval = time.Second
+	// notifyInterval is how often a silent instance is notified.
+	notifyInterval = time.Second
 
-	// eagerCalls is the same for a while after the controller has started: after
-	// the loss of all instances they start within half a second of each other.
-	eagerCalls = 100 * time.Millisecond
+	// startupNotifyInterval replaces notifyInterval for a while after the
+	// controller has started: after the loss of all instances they start within
+	// half a second of each other.
+	startupNotifyInterval = 100 * time.Millisecond
 
-	// eagerTime is that while.
-	eagerTime = 3 * time.Second
+	// startupWindow is how long startupNotifyInterval applies.
+	startupWindow = 3 * time.Second
 
-	// forgetContact is when a silent instance is given up.
-	forgetContact = 75 * time.Second
+	// contactTTL is how long a silent instance is remembered.
+	contactTTL = 75 * time.Second
 
-	// saveInterval bounds how often the instances are written.
-	saveInterval = time.Second
+	// minSaveInterval limits how often the known instances are written to disk.
+	minSaveInterval = time.Second
 )
 
-// contact is an instance that polls, or has polled before.
+// contact is an instance that polls this controller, or has polled it before.
 type contact struct {
-	heard  time.Time
-	called time.Time
+	lastPoll     time.Time
+	lastNotified time.Time
 }
 
-// contacts are the instances that a controller has heard of. Instances know only
-// their seeds when they start, and these may be the last controllers to start, or
-// be lost. So every controller remembers who has polled it, across its own
-// restarts, and calls those that fell silent.
+// contacts holds the instances that have polled a controller. Instances know only
+// their seeds when they start, and these controllers may start last or be lost.
+// So every controller remembers which instances have polled it, across its own
+// restarts, and notifies those that fell silent.
 type contacts struct {
-	known   map[flow.Endpoint]*contact
-	changed bool // since the last save
-	saved   time.Time
-	eager   time.Time // until when instances are called often
+	known        map[flow.Endpoint]*contact
+	changed      bool // since the last save
+	lastSave     time.Time
+	startupUntil time.Time // startupNotifyInterval applies until then
 }
 
 func newContacts() *contacts { return &contacts{known: make(map[flow.Endpoint]*contact)} }
 
-// hear notes that an instance polls.
-func (c *contacts) hear(now time.Time, instance flow.Endpoint) {
-	known := c.known[instance]
-	if known == nil {
-		known = &contact{}
-		c.known[instance] = known
+// recordPoll records that an instance has polled.
+func (c *contacts) recordPoll(now time.Time, instance flow.Endpoint) {
+	entry := c.known[instance]
+	if entry == nil {
+		entry = &contact{}
+		c.known[instance] = entry
 		c.changed = true
 	}
 
-	known.heard = now
+	entry.lastPoll = now
 }
 
-// silent returns the instances to call now, and gives up old ones.
-func (c *contacts) silent(now time.Time) []flow.Endpoint {
+// dueNotifications returns the silent instances to notify now, and forgets those
+// that exceed contactTTL.
+func (c *contacts) dueNotifications(now time.Time) []flow.Endpoint {
 	var found []flow.Endpoint
 
-	interval := callInterval
-	if now.Before(c.eager) {
-		interval = eagerCalls
+	interval := notifyInterval
+	if now.Before(c.startupUntil) {
+		interval = startupNotifyInterval
 	}
 
-	for instance, known := range c.known {
-		switch silence := now.Sub(known.heard); {
-		case silence > forgetContact:
+	for instance, entry := range c.known {
+		switch silence := now.Sub(entry.lastPoll); {
+		case silence > contactTTL:
 			delete(c.known, instance)
 
 			c.changed = true
-		case silence > silentContact && now.Sub(known.called) >= interval:
-			known.called = now
+		case silence > contactSilenceTimeout && now.Sub(entry.lastNotified) >= interval:
+			entry.lastNotified = now
 			found = append(found, instance)
 		}
 	}
@@ -86,13 +88,14 @@
 	return found
 }
 
-// unsaved returns the contents of the file if it has to be written now.
-func (c *contacts) unsaved(now time.Time) ([]byte, bool) {
-	if !c.changed || now.Sub(c.saved) < saveInterval {
+// encodeIfChanged returns the new contents of the file if it has to be written
+// now.
+func (c *contacts) encodeIfChanged(now time.Time) ([]byte, bool) {
+	if !c.changed || now.Sub(c.lastSave) < minSaveInterval {
 		return nil, false
 	}
 
-	c.changed, c.saved = false, now
+	c.changed, c.lastSave = false, now
 
 	var encoded []byte
 	for instance := range c.known {
@@ -102,20 +105,21 @@
 	return encoded, true
 }
 
-// restore adds the instances of a file. They are called at once, and often.
+// restore adds the instances of a file. They are notified at once, and often at
+// first.
 func (c *contacts) restore(now time.Time, encoded []byte) {
-	c.eager = now.Add(eagerTime)
+	c.startupUntil = now.Add(startupWindow)
 
 	for ; len(encoded) >= flow.EndpointBytes; encoded = encoded[flow.EndpointBytes:] {
 		instance := flow.ParseEndpoint(encoded)
 		if c.known[instance] == nil {
-			c.known[instance] = &contact{heard: now.Add(-silentContact - 1)}
+			c.known[instance] = &contact{lastPoll: now.Add(-contactSilenceTimeout - 1)}
 		}
 	}
 }
 
-// readContacts reads the file. One that is missing or torn is like an empty one:
-// it is written anew as instances poll.
+// readContacts reads the file. A missing or torn file counts as empty: it is
+// written again as instances poll.
 func readContacts(files wal.Files, path string) ([]byte, error) {
 	data, err := wal.ReadIfExists(files, path)
 	if err != nil || len(data) == 0 {
--- a/internal/program/registry/contacts_internal_test.go
+++ b/internal/program/registry/contacts_internal_test.go
@@ -10,56 +10,56 @@
 )
 
 var (
-	begin = time.Unix(1_000_000, 0)
-	first = flow.Endpoint{IP: [4]byte{10, 0, 0, 1}, Port: 7}
-	other = flow.Endpoint{IP: [4]byte{10, 0, 0, 2}, Port: 7}
+	startTime = time.Unix(1_000_000, 0)
+	instance1 = flow.Endpoint{IP: [4]byte{10, 0, 0, 1}, Port: 7}
+	instance2 = flow.Endpoint{IP: [4]byte{10, 0, 0, 2}, Port: 7}
 )
 
-// TestContacts guards against instances that are called while they poll, that are
-// called all the time, and that are never given up.
+// TestContacts guards against notifying instances that still poll, notifying
+// silent ones more often than the interval allows, and never forgetting them.
 func TestContacts(t *testing.T) {
 	is := is.New(t)
 	c := newContacts()
-	c.hear(begin, first)
-	is.Equal(len(c.silent(begin.Add(silentContact))), 0)
+	c.recordPoll(startTime, instance1)
+	is.Equal(len(c.dueNotifications(startTime.Add(contactSilenceTimeout))), 0)
 
-	later := begin.Add(silentContact + 1)
-	is.Equal(c.silent(later), []flow.Endpoint{first})
-	is.Equal(len(c.silent(later.Add(callInterval-1))), 0)
-	is.Equal(c.silent(later.Add(callInterval)), []flow.Endpoint{first})
+	later := startTime.Add(contactSilenceTimeout + 1)
+	is.Equal(c.dueNotifications(later), []flow.Endpoint{instance1})
+	is.Equal(len(c.dueNotifications(later.Add(notifyInterval-1))), 0)
+	is.Equal(c.dueNotifications(later.Add(notifyInterval)), []flow.Endpoint{instance1})
 
-	c.hear(later.Add(time.Second), first)
-	is.Equal(len(c.silent(later.Add(time.Second+callInterval))), 0)
+	c.recordPoll(later.Add(time.Second), instance1)
+	is.Equal(len(c.dueNotifications(later.Add(time.Second+notifyInterval))), 0)
 
-	is.Equal(len(c.silent(later.Add(time.Second+forgetContact+1))), 0)
+	is.Equal(len(c.dueNotifications(later.Add(time.Second+contactTTL+1))), 0)
 	is.Equal(len(c.known), 0)
 }
 
-// TestContactsSaved guards against a write for every poll, and against instances
-// that a controller does not call after its restart.
+// TestContactsSaved guards against a write for every poll, and against a
+// restarted controller that does not notify the instances it knew before.
 func TestContactsSaved(t *testing.T) {
 	is := is.New(t)
 	c := newContacts()
-	c.hear(begin, first)
-	c.hear(begin, other)
+	c.recordPoll(startTime, instance1)
+	c.recordPoll(startTime, instance2)
 
-	saved, changed := c.unsaved(begin)
+	saved, changed := c.encodeIfChanged(startTime)
 	is.True(changed)
 
-	c.hear(begin.Add(time.Minute), first)
-	_, changed = c.unsaved(begin.Add(time.Minute))
+	c.recordPoll(startTime.Add(time.Minute), instance1)
+	_, changed = c.encodeIfChanged(startTime.Add(time.Minute))
 	is.True(!changed)
 
 	restarted := newContacts()
-	restarted.hear(begin, other)
-	restarted.restore(begin, saved)
-	is.Equal(restarted.silent(begin), []flow.Endpoint{first}) // the other one has polled already
+	restarted.recordPoll(startTime, instance2)
+	restarted.restore(startTime, saved)
+	is.Equal(restarted.dueNotifications(startTime), []flow.Endpoint{instance1}) // instance2 has polled already
 	is.Equal(len(restarted.known), 2)
 
-	// It may start after the controller. The other one goes on polling.
-	late := begin.Add(eagerTime)
-	restarted.hear(late, other)
-	is.Equal(restarted.silent(begin.Add(eagerCalls)), []flow.Endpoint{first})
-	is.Equal(restarted.silent(late), []flow.Endpoint{first})
-	is.Equal(len(restarted.silent(late.Add(callInterval-1))), 0)
+	// instance1 may start after the controller. instance2 keeps polling.
+	late := startTime.Add(startupWindow)
+	restarted.recordPoll(late, instance2)
+	is.Equal(restarted.dueNotifications(startTime.Add(startupNotifyInterval)), []flow.Endpoint{instance1})
+	is.Equal(restarted.dueNotifications(late), []flow.Endpoint{instance1})
+	is.Equal(len(restarted.dueNotifications(late.Add(notifyInterval-1))), 0)
 }
--- a/internal/program/registry/members.go
+++ b/internal/program/registry/members.go
@@ -12,34 +12,37 @@
 )
 
 const (
-	// enterInterval is how often a replica without a group asks to be added.
-	enterInterval = 100 * time.Millisecond
+	// joinRequestInterval is how often a replica without a group asks to be added.
+	joinRequestInterval = 100 * time.Millisecond
 
-	// lonelyAfter is how long a member may be without a leader before it asks
-	// to be added again: it may have been removed while it was away.
-	lonelyAfter = 1500 * time.Millisecond
+	// rejoinDelay is how long a member may be without a leader before it asks to
+	// be added again: it may have been removed while it was unreachable.
+	rejoinDelay = 1500 * time.Millisecond
 
-	// replaceAfter is how long a voter may be silent before a newcomer takes
-	// its place.
-	replaceAfter = 2500 * time.Millisecond
+	// replaceDelay is how long a member may be silent before it is removed. A
+	// voter stays until there are enough others.
+	replaceDelay = 2500 * time.Millisecond
 
-	// dutyInterval bounds how often membership changes are tried.
-	dutyInterval = 50 * time.Millisecond
+	// membershipInterval is the minimum time between two attempts to change the
+	// membership.
+	membershipInterval = 50 * time.Millisecond
 )
 
-// duties is what a leader remembers of the members.
-type duties struct {
-	last   time.Time
-	silent map[wal.ReplicaID]time.Time // since when a member has not answered
+// membershipState is what a leader tracks about the members.
+type membershipState struct {
+	lastCheck   time.Time
+	silentSince map[wal.ReplicaID]time.Time // since when a member has not answered
 }
 
-func newDuties() duties { return duties{silent: make(map[wal.ReplicaID]time.Time)} }
+func newMembershipState() membershipState {
+	return membershipState{silentSince: make(map[wal.ReplicaID]time.Time)}
+}
 
-// minVoters is the number of voters from which the loss of as many disks as may
-// be lost at once leaves a majority. Nothing is acknowledged before.
+// minVoters is the number of voters that still leaves a majority after the
+// largest tolerated loss of disks. No document is accepted with fewer.
 func (o *owner) minVoters() int { return 2*o.settings.Losses + 1 }
 
-func voters(members []raft.MemberStatus) int {
+func countVoters(members []raft.MemberStatus) int {
 	count := 0
 
 	for _, member := range members {
@@ -51,47 +54,47 @@
 	return count
 }
 
-// lead changes the membership: learners that have caught up become voters, and
-// members that were replaced leave. One change is in progress at a time.
-func (o *owner) lead(now time.Time) {
+// manageMembership promotes learners that have caught up, and removes members
+// that were replaced. One change is in progress at a time.
+func (o *owner) manageMembership(now time.Time) {
 	status := o.node.Status()
 
 	if leading := status.Role == raft.Leader; leading != o.leading {
 		o.leading = leading
-		o.duties = newDuties()
+		o.membership = newMembershipState()
 		o.logger.Info("leadership changed", "leads", leading, "term", status.Term, "leader", status.Leader.String())
 	}
 
-	if !o.leading || !status.Ready || now.Sub(o.duties.last) < dutyInterval {
+	if !o.leading || !status.Ready || now.Sub(o.membership.lastCheck) < membershipInterval {
 		return
 	}
 
-	o.duties.last = now
-	o.duties.hear(now, status.Members)
+	o.membership.lastCheck = now
+	o.membership.updateSilent(now, status.Members)
 
 	if change, ok := o.nextChange(now, status); ok {
-		o.change(change)
+		o.proposeChange(change)
 	}
 }
 
-// hear notes which members answer.
-func (d *duties) hear(now time.Time, members []raft.MemberStatus) {
-	known := make(map[wal.ReplicaID]time.Time, len(members))
+// updateSilent records since when each unresponsive member has not answered.
+func (m *membershipState) updateSilent(now time.Time, members []raft.MemberStatus) {
+	silentSince := make(map[wal.ReplicaID]time.Time, len(members))
 
 	for _, member := range members {
 		if member.Responsive {
 			continue
 		}
 
-		since, ok := d.silent[member.ID]
+		since, ok := m.silentSince[member.ID]
 		if !ok {
 			since = now
 		}
 
-		known[member.ID] = since
+		silentSince[member.ID] = since
 	}
 
-	d.silent = known
+	m.silentSince = silentSince
 }
 
 // nextChange returns the next membership change, and false if none is due.
@@ -103,7 +106,7 @@
 	}
 
 	for _, member := range status.Members {
-		if member.ID != status.Replica && o.replaced(now, member, status.Members) {
+		if member.ID != status.Replica && o.isReplaceable(now, member, status.Members) {
 			return raft.Change{Kind: raft.ChangeRemove, Member: member.Member}, true
 		}
 	}
@@ -111,33 +114,33 @@
 	return raft.Change{}, false
 }
 
-// replaced reports whether a member has left for good. A voter stays until
-// there are enough others, so that an acknowledged document never loses copies.
-func (o *owner) replaced(now time.Time, member raft.MemberStatus, members []raft.MemberStatus) bool {
-	since, silent := o.duties.silent[member.ID]
+// isReplaceable reports whether a member can be removed. A voter stays until
+// there are enough others, so that an accepted document never loses copies.
+func (o *owner) isReplaceable(now time.Time, member raft.MemberStatus, members []raft.MemberStatus) bool {
+	since, silent := o.membership.silentSince[member.ID]
 	if !silent {
 		return false
 	}
 
 	if member.Learner {
-		return now.Sub(since) > replaceAfter
+		return now.Sub(since) > replaceDelay
 	}
 
-	if voters(members) <= o.minVoters() {
+	if countVoters(members) <= o.minVoters() {
 		return false
 	}
 
 	for _, other := range members {
-		// An instance has one replica: the older one has lost its disk.
+		// An instance runs one replica: the older one at this address has lost its disk.
 		if other.ID != member.ID && other.Address == member.Address && !other.Learner && other.Responsive {
 			return true
 		}
 	}
 
-	return now.Sub(since) > replaceAfter
+	return now.Sub(since) > replaceDelay
 }
 
-func (o *owner) change(change raft.Change) {
+func (o *owner) proposeChange(change raft.Change) {
 	_, _, err := o.node.ChangeMembership(change)
 
 	var failed *raft.Error
@@ -154,10 +157,10 @@
 func (o *owner) logMembers(index uint64) {
 	status := o.node.Status()
 	o.logger.Info("the membership changed", "index", index, "members", len(status.Members),
-		"voters", voters(status.Members))
+		"voters", countVoters(status.Members))
 }
 
-func (o *owner) learnAddresses() {
+func (o *owner) updateAddresses() {
 	if o.node == nil {
 		return
 	}
@@ -180,11 +183,11 @@
 
 	switch kind {
 	case wire.KindReplicate:
-		err = o.replicate(from, body)
+		err = o.handleReplicate(from, body)
 	case wire.KindEnter:
-		err = o.admit(from, body)
+		err = o.handleJoinRequest(from, body)
 	case wire.KindEnterReply:
-		err = o.admitted(now, body)
+		err = o.handleJoinReply(now, body)
 	}
 
 	if err != nil {
@@ -192,7 +195,7 @@
 	}
 }
 
-func (o *owner) replicate(from netip.AddrPort, body []byte) error {
+func (o *owner) handleReplicate(from netip.AddrPort, body []byte) error {
 	message, err := raft.DecodeMessage(body)
 	if err != nil {
 		return err
@@ -210,22 +213,22 @@
 	return o.node.Receive(*message)
 }
 
-// enter asks the group to add this replica if it has none, or may have been
-// removed.
-func (o *owner) enter(now time.Time) {
-	if o.log == nil || now.Sub(o.entered) < enterInterval {
+// requestJoin asks the group to add this replica if it belongs to none, or may
+// have been removed.
+func (o *owner) requestJoin(now time.Time) {
+	if o.log == nil || now.Sub(o.lastJoinRequest) < joinRequestInterval {
 		return
 	}
 
-	if o.node != nil && now.Sub(o.led) < lonelyAfter {
+	if o.node != nil && now.Sub(o.lastLeaderSeen) < rejoinDelay {
 		return
 	}
 
-	o.entered = now
+	o.lastJoinRequest = now
 
 	message, err := wire.Encode(wire.KindEnter, wire.Enter{Replica: uint64(o.log.Identity().Replica)})
 	if err != nil {
-		o.logger.Error("cannot ask to be added", "error", err)
+		o.logger.Error("could not encode a join request", "error", err)
 
 		return
 	}
@@ -235,14 +238,15 @@
 			continue
 		}
 
-		if err := o.inner.Send(controller.AddrPort(), message); err != nil {
-			o.logger.Debug("a message did not leave", "to", controller.String(), "error", err)
+		if err := o.conn.Send(controller.AddrPort(), message); err != nil {
+			o.logger.Debug("could not send a message", "to", controller.String(), "error", err)
 		}
 	}
 }
 
-// admit adds a replica to the group, or tells it who else to ask.
-func (o *owner) admit(from netip.AddrPort, body []byte) error {
+// handleJoinRequest adds a replica to the group if this one leads, and tells it
+// which controllers it can ask.
+func (o *owner) handleJoinRequest(from netip.AddrPort, body []byte) error {
 	enter, err := wire.Decode[wire.Enter](body)
 	if err != nil || o.node == nil {
 		return err
@@ -272,11 +276,11 @@
 		return err
 	}
 
-	return o.inner.Send(from, message)
+	return o.conn.Send(from, message)
 }
 
-// admitted joins the group that has added this replica.
-func (o *owner) admitted(now time.Time, body []byte) error {
+// handleJoinReply joins the group that has added this replica.
+func (o *owner) handleJoinReply(now time.Time, body []byte) error {
 	reply, err := wire.Decode[wire.EnterReply](body)
 	if err != nil {
 		return err
@@ -301,22 +305,23 @@
 	return o.start(now, raft.Stored{})
 }
 
-// handOver transfers the leadership, and closes done once it has moved.
-func (o *owner) handOver(_ time.Time, done chan struct{}) {
+// transferLeadership transfers the leadership, and closes done once another
+// replica leads.
+func (o *owner) transferLeadership(_ time.Time, done chan struct{}) {
 	if o.node == nil || o.node.TransferLeadership(0) != nil {
-		close(done) // nothing to hand over
+		close(done) // there is no leadership to transfer
 
 		return
 	}
 
-	o.handing = done
+	o.transferDone = done
 }
 
-func (o *owner) finishHandOver() {
-	if o.handing == nil || (o.node != nil && o.node.Status().Role == raft.Leader) {
+func (o *owner) finishTransfer() {
+	if o.transferDone == nil || (o.node != nil && o.node.Status().Role == raft.Leader) {
 		return
 	}
 
-	close(o.handing)
-	o.handing = nil
+	close(o.transferDone)
+	o.transferDone = nil
 }
--- a/internal/program/registry/operate.go
+++ b/internal/program/registry/operate.go
@@ -12,8 +12,8 @@
 	"jayspindle/internal/state/route"
 )
 
-// answerTimeout is how long a caller waits: callers ask another controller
-// after a second.
+// answerTimeout is how long a caller waits for an answer: callers ask another
+// controller after a second.
 const answerTimeout = 850 * time.Millisecond
 
 // outcome is the answer to a caller.
@@ -23,18 +23,18 @@
 	err      *Error
 }
 
-// proposal is a caller that waits for its entry.
+// proposal is a caller that waits until its entry is applied.
 type proposal struct {
-	term  uint64
-	at    time.Time
-	reply chan<- outcome
+	term       uint64
+	proposedAt time.Time
+	reply      chan<- outcome
 }
 
-// applied answers the caller of an entry.
-func (p *proposal) applied(term uint64, result catalog.Result) {
+// complete answers the caller once the entry at its index has been applied.
+func (p *proposal) complete(term uint64, result catalog.Result) {
 	switch {
 	case term != p.term:
-		p.reply <- outcome{err: newError("submit", KindUnavailable, errors.New("another entry took the place"))}
+		p.reply <- outcome{err: newError("submit", KindUnavailable, errors.New("another entry replaced this one"))}
 	case result.Err() != nil:
 		p.reply <- outcome{err: newError("submit", KindInvalid, result.Err())}
 	default:
@@ -42,8 +42,9 @@
 	}
 }
 
-// ask passes an event to the owner and waits for the answer.
-func (r *Registry) ask(ctx context.Context, operation string, next func(o *owner, now time.Time, reply chan<- outcome),
+// request passes an event to the owner and waits for the answer.
+func (r *Registry) request(
+	ctx context.Context, operation string, handler func(o *owner, now time.Time, reply chan<- outcome),
 ) outcome {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
@@ -51,7 +52,7 @@
 	reply := make(chan outcome, 1)
 
 	select {
-	case r.events <- func(o *owner, now time.Time) { next(o, now, reply) }:
+	case r.events <- func(o *owner, now time.Time) { handler(o, now, reply) }:
 	case <-ctx.Done():
 		return outcome{err: newError(operation, KindUnavailable, ctx.Err())}
 	}
@@ -64,9 +65,10 @@
 	}
 }
 
-// Submit puts a document in force and returns the version that then is. A
-// version that is not higher than the one in force changes nothing and is no
-// error. After an error of KindUnavailable the document may be in force or not.
+// Submit puts a document in force and returns the version in force afterwards. A
+// version that is not higher than the one in force changes nothing and is not an
+// error. After an error of KindUnavailable the document may or may not be in
+// force.
 func (r *Registry) Submit(ctx context.Context, version uint64, document []byte) (uint64, error) {
 	if len(document) > MaxDocumentBytes {
 		return 0, newError("submit", KindTooLarge,
@@ -87,8 +89,8 @@
 		return 0, newError("submit", KindInvalid, err)
 	}
 
-	begun := time.Now()
-	answer := r.ask(ctx, "submit", func(o *owner, now time.Time, reply chan<- outcome) {
+	started := time.Now()
+	answer := r.request(ctx, "submit", func(o *owner, now time.Time, reply chan<- outcome) {
 		o.submit(now, catalog.Approve{Version: version, Document: compressed}, reply)
 	})
 	if answer.err != nil {
@@ -97,16 +99,16 @@
 		return 0, answer.err
 	}
 
-	r.accepts.Observe(time.Since(begun))
+	r.acceptLatency.Observe(time.Since(started))
 	r.logger.Info("accepted a document", "version", version, "in_force", answer.version)
 
 	return answer.version, nil
 }
 
-// Newest returns the newest document as its operator sent it, or version 0. The
-// answer is confirmed by a majority.
+// Newest returns the newest document as its operator sent it, or version 0 if
+// there is none. The answer is confirmed by a majority.
 func (r *Registry) Newest(ctx context.Context) (uint64, []byte, error) {
-	answer := r.ask(ctx, "read", func(o *owner, _ time.Time, reply chan<- outcome) { o.read(reply) })
+	answer := r.request(ctx, "read", func(o *owner, _ time.Time, reply chan<- outcome) { o.read(reply) })
 	if answer.err != nil {
 		return 0, nil, answer.err
 	}
@@ -125,20 +127,20 @@
 
 // submit proposes a document.
 func (o *owner) submit(now time.Time, command catalog.Approve, reply chan<- outcome) {
-	// What is applied is stored by a majority, whoever leads now.
-	if held, _ := o.state.Approved(); held >= command.Version {
-		reply <- outcome{version: held}
+	// An applied document is stored by a majority, whichever replica leads now.
+	if current, _ := o.state.Approved(); current >= command.Version {
+		reply <- outcome{version: current}
 
 		return
 	}
 
-	if err := o.notLeading("submit"); err != nil {
+	if err := o.requireLeader("submit"); err != nil {
 		reply <- outcome{err: err}
 
 		return
 	}
 
-	if count := voters(o.node.Status().Members); count < o.minVoters() {
+	if count := countVoters(o.node.Status().Members); count < o.minVoters() {
 		reply <- outcome{err: newError("submit", KindUnavailable,
 			fmt.Errorf("%d controllers store documents, %d are needed", count, o.minVoters()))}
 
@@ -160,30 +162,31 @@
 	}
 
 	// An entry at this index that was never committed has been overwritten.
-	if lost, ok := o.proposals[index]; ok {
-		lost.applied(0, catalog.Result{})
+	if overwritten, ok := o.proposals[index]; ok {
+		overwritten.complete(0, catalog.Result{})
 	}
 
-	o.proposals[index] = &proposal{term: term, at: now, reply: reply}
+	o.proposals[index] = &proposal{term: term, proposedAt: now, reply: reply}
 }
 
-// read answers with the document once a majority has confirmed the leader.
+// read answers with the document in force once a majority has confirmed that this
+// replica leads.
 func (o *owner) read(reply chan<- outcome) {
-	if err := o.notLeading("read"); err != nil {
+	if err := o.requireLeader("read"); err != nil {
 		reply <- outcome{err: err}
 
 		return
 	}
 
-	o.nextRead++
+	o.lastReadID++
 
-	if err := o.node.ReadIndex(o.nextRead); err != nil {
+	if err := o.node.ReadIndex(o.lastReadID); err != nil {
 		reply <- outcome{err: newError("read", KindUnavailable, err)}
 
 		return
 	}
 
-	o.reads[o.nextRead] = reply
+	o.reads[o.lastReadID] = reply
 }
 
 func (o *owner) answerReads(reads []raft.Read) {
@@ -206,10 +209,11 @@
 	}
 }
 
-// notLeading returns an error that names the leader unless this replica leads.
-func (o *owner) notLeading(operation string) *Error {
+// requireLeader returns an error unless this replica leads. The error names the
+// leader if it is known.
+func (o *owner) requireLeader(operation string) *Error {
 	if o.node == nil {
-		return newError(operation, KindUnavailable, errors.New("the replica does not take part in a group"))
+		return newError(operation, KindUnavailable, errors.New("the replica does not belong to a group"))
 	}
 
 	status := o.node.Status()
@@ -217,7 +221,7 @@
 		return nil
 	}
 
-	err := newError(operation, KindNotLeader, errors.New("another controller leads, or none"))
+	err := newError(operation, KindNotLeader, errors.New("this controller does not lead the group"))
 	if address, ok := o.addresses[status.Leader]; ok && status.Leader != 0 {
 		err.leader, _ = flow.NewEndpoint(address)
 	}
@@ -225,8 +229,9 @@
 	return err
 }
 
-// dropCallers answers all callers whose outcome is not known any more.
-func (o *owner) dropCallers(cause error) {
+// failCallers answers all waiting callers with an error, because their outcome is
+// no longer known.
+func (o *owner) failCallers(cause error) {
 	for index, waiting := range o.proposals {
 		waiting.reply <- outcome{err: newError("submit", KindUnavailable, cause)}
 
@@ -240,10 +245,10 @@
 	}
 }
 
-// forget drops the callers that nobody waits for any more.
-func (o *owner) forget(now time.Time) {
+// expireProposals removes proposals whose callers have timed out.
+func (o *owner) expireProposals(now time.Time) {
 	for index, waiting := range o.proposals {
-		if now.Sub(waiting.at) > 2*answerTimeout {
+		if now.Sub(waiting.proposedAt) > 2*answerTimeout {
 			delete(o.proposals, index)
 		}
 	}
--- a/internal/program/registry/owner.go
+++ b/internal/program/registry/owner.go
@@ -15,57 +15,58 @@
 )
 
 const (
-	// tickInterval drives elections and heartbeats.
+	// tickInterval is the resolution of the election and heartbeat timers.
 	tickInterval = 20 * time.Millisecond
 
-	// electionTimeout is five heartbeats. A leader that is frozen or whose disk
-	// hangs is replaced within two of it.
+	// electionTimeout is five heartbeat intervals. A leader that is frozen or
+	// whose disk hangs is replaced within two election timeouts.
 	electionTimeout = 400 * time.Millisecond
 
 	heartbeatInterval = 80 * time.Millisecond
 
-	// maxMessage bounds the entries and the snapshot data of one message, so
+	// maxMessageBytes limits the entries and the snapshot data of one message, so
 	// that a lost fragment costs little.
-	maxMessage = 64 << 10
+	maxMessageBytes = 64 << 10
 
-	// captureEvery is the number of entries between two snapshots. Documents
+	// entriesPerSnapshot is the number of entries between two snapshots. Documents
 	// are a few kilobytes, so the log stays at a few megabytes.
-	captureEvery = 256
+	entriesPerSnapshot = 256
 
-	// reopenInterval is how often a data directory that failed is tried again.
+	// reopenInterval is how often opening a failed data directory is retried.
 	reopenInterval = 250 * time.Millisecond
 
-	// maxBatch bounds the events handled before their entries share one sync.
-	maxBatch = 64
+	// maxBatchEvents limits the events handled before their entries share one
+	// sync.
+	maxBatchEvents = 64
 
 	firstGeneration = 1
 
-	// replicaDirectory is below the data directory, so that the log can create
-	// it, and sync its name.
+	// replicaDirectory is a subdirectory of the data directory, so that the log
+	// can create it and sync its directory entry.
 	replicaDirectory = "replica"
 )
 
-// owner holds the replicated log. Only its goroutine uses it, and it may wait
-// for the disk.
+// owner holds the replicated log. Only its own goroutine uses it, and may block
+// on the disk.
 type owner struct {
 	*Registry
 
-	log      *wal.Log   // nil while the data directory cannot be used
-	node     *raft.Node // nil until the replica belongs to a group
-	state    *catalog.Catalog
-	applied  uint64
-	captured uint64
-	opened   time.Time // last attempt to open the data directory
-
-	addresses map[wal.ReplicaID]netip.AddrPort
-	proposals map[uint64]*proposal
-	reads     map[uint64]chan<- outcome
-	nextRead  uint64
-	duties    duties
-	handing   chan struct{}
-	leading   bool
-	entered   time.Time // last request to be added to the group
-	led       time.Time // last time that a leader was known
+	log           *wal.Log   // nil while the data directory cannot be used
+	node          *raft.Node // nil until the replica belongs to a group
+	state         *catalog.Catalog
+	appliedIndex  uint64
+	snapshotIndex uint64
+	lastOpen      time.Time // last attempt to open the data directory
+
+	addresses       map[wal.ReplicaID]netip.AddrPort
+	proposals       map[uint64]*proposal
+	reads           map[uint64]chan<- outcome
+	lastReadID      uint64
+	membership      membershipState
+	transferDone    chan struct{}
+	leading         bool
+	lastJoinRequest time.Time // last request to be added to the group
+	lastLeaderSeen  time.Time // last time that a leader was known
 }
 
 func newOwner(r *Registry) *owner {
@@ -73,7 +74,7 @@
 		Registry: r, state: &catalog.Catalog{},
 		addresses: make(map[wal.ReplicaID]netip.AddrPort),
 		proposals: make(map[uint64]*proposal), reads: make(map[uint64]chan<- outcome),
-		duties: newDuties(), led: time.Now(),
+		membership: newMembershipState(), lastLeaderSeen: time.Now(),
 	}
 }
 
@@ -87,13 +88,13 @@
 	for {
 		select {
 		case next := <-o.events:
-			o.batch(time.Now(), next)
+			o.handleBatch(time.Now(), next)
 		case <-ticker.C:
 			o.tick(time.Now())
 		case <-ctx.Done():
 			if o.log != nil {
 				if err := o.log.Close(); err != nil {
-					o.logger.Warn("the data directory did not close", "error", err)
+					o.logger.Warn("could not close the data directory", "error", err)
 				}
 			}
 
@@ -104,11 +105,11 @@
 	}
 }
 
-// batch handles the waiting events, so that their entries share one sync.
-func (o *owner) batch(now time.Time, first event) {
+// handleBatch handles the waiting events, so that their entries share one sync.
+func (o *owner) handleBatch(now time.Time, first event) {
 	first(o, now)
 
-	for range maxBatch {
+	for range maxBatchEvents {
 		select {
 		case next := <-o.events:
 			next(o, now)
@@ -119,7 +120,7 @@
 }
 
 func (o *owner) tick(now time.Time) {
-	if o.log == nil && now.Sub(o.opened) >= reopenInterval {
+	if o.log == nil && now.Sub(o.lastOpen) >= reopenInterval {
 		o.reopen(now)
 	}
 
@@ -127,40 +128,41 @@
 		o.node.Tick(now)
 	}
 
-	o.enter(now)
-	o.finishHandOver()
-	o.forget(now)
+	o.requestJoin(now)
+	o.finishTransfer()
+	o.expireProposals(now)
 }
 
-// process does what the log asks for and publishes the result.
+// process carries out what the Raft node asks for and publishes the result.
 func (o *owner) process(now time.Time) {
 	if o.node != nil {
-		err := o.drain()
+		err := o.handleReady()
 		if err == nil {
-			o.lead(now)
+			o.manageMembership(now)
 
-			err = o.drain()
+			err = o.handleReady()
 		}
 
 		if err == nil {
-			err = o.capture()
+			err = o.takeSnapshot()
 		}
 
-		// A replica whose disk refuses writes must not answer any more: another
-		// one leads. It comes back once the disk takes writes again.
+		// A replica whose disk refuses writes must stop answering, so that another
+		// one takes the lead. It returns once the disk accepts writes again.
 		if err != nil {
 			o.logger.Error("left the group until the data directory can be written", "error", err)
-			o.drop()
+			o.closeStorage()
 
-			o.opened = now
+			o.lastOpen = now
 		}
 	}
 
 	o.publish(time.Now())
 }
 
-// drain does what the log asks for, in the order that it prescribes.
-func (o *owner) drain() error {
+// handleReady saves, sends and applies what the Raft node returns, in the order
+// that Raft requires, until nothing is left.
+func (o *owner) handleReady() error {
 	for ready, ok := o.node.Ready(); ok; ready, ok = o.node.Ready() {
 		if err := o.save(ready); err != nil {
 			return err
@@ -188,9 +190,9 @@
 			return err
 		}
 
-		o.applied, o.captured = ready.Snapshot.Index, ready.Snapshot.Index
-		o.learnAddresses()
-		o.dropCallers(errors.New("a snapshot replaced the entry"))
+		o.appliedIndex, o.snapshotIndex = ready.Snapshot.Index, ready.Snapshot.Index
+		o.updateAddresses()
+		o.failCallers(errors.New("a snapshot replaced the entry"))
 	}
 
 	if ready.HardState == nil && len(ready.Entries) == 0 {
@@ -208,18 +210,18 @@
 
 	encoded, err := raft.EncodeMessage(message)
 	if err == nil {
-		err = o.inner.Send(address, append([]byte{byte(wire.KindReplicate)}, encoded...))
+		err = o.conn.Send(address, append([]byte{byte(wire.KindReplicate)}, encoded...))
 	}
 
 	if err != nil {
-		o.logger.Debug("a message did not leave", "to", address, "error", err)
+		o.logger.Debug("could not send a message", "to", address, "error", err)
 	}
 }
 
 // apply applies committed entries and answers the callers that wait for them.
 func (o *owner) apply(entries []raft.Entry) {
 	for _, entry := range entries {
-		o.applied = entry.Index
+		o.appliedIndex = entry.Index
 
 		var result catalog.Result
 
@@ -227,7 +229,7 @@
 		case wal.EntryCommand:
 			result = o.state.Apply(entry.Index, entry.Data)
 		case wal.EntryMembership:
-			o.learnAddresses()
+			o.updateAddresses()
 			o.logMembers(entry.Index)
 		}
 
@@ -237,13 +239,13 @@
 		}
 
 		delete(o.proposals, entry.Index)
-		waiting.applied(entry.Term, result)
+		waiting.complete(entry.Term, result)
 	}
 }
 
-// capture takes a snapshot when enough entries have been applied.
-func (o *owner) capture() error {
-	if o.applied-o.captured < captureEvery {
+// takeSnapshot takes a snapshot once enough entries have been applied.
+func (o *owner) takeSnapshot() error {
+	if o.appliedIndex-o.snapshotIndex < entriesPerSnapshot {
 		return nil
 	}
 
@@ -252,7 +254,7 @@
 		return err
 	}
 
-	snapshot, err := o.node.Compact(o.applied, data)
+	snapshot, err := o.node.Compact(o.appliedIndex, data)
 	if err != nil {
 		return err
 	}
@@ -261,31 +263,31 @@
 		return err
 	}
 
-	o.captured = o.applied
+	o.snapshotIndex = o.appliedIndex
 
 	return o.log.Compact()
 }
 
-// publish tells the other goroutines what is in force.
+// publish shares the current state with the other goroutines.
 func (o *owner) publish(now time.Time) {
 	before := o.published.Load()
-	current := &published{
-		at: now, version: before.version, encoded: before.encoded, controllers: before.controllers,
+	current := &publishedState{
+		publishedAt: now, version: before.version, encoded: before.encoded, controllers: before.controllers,
 	}
 
 	if o.node != nil {
 		status := o.node.Status()
-		current.led = status.Leader != 0
+		current.hasLeader = status.Leader != 0
 		current.controllers = endpoints(status.Members)
 
-		if current.led {
-			o.led = now
+		if current.hasLeader {
+			o.lastLeaderSeen = now
 		}
 	}
 
 	version, document := o.state.Approved()
 	if version > before.version {
-		if err := o.publishDocument(current, version, document); err != nil {
+		if err := o.encodeDocument(current, version, document); err != nil {
 			o.logger.Error("cannot publish a document", "version", version, "error", err)
 		}
 	}
@@ -294,12 +296,12 @@
 
 	if current.version > before.version {
 		o.logger.Info("a document is in force", "version", current.version, "before", before.version)
-		o.documentNews(now)
+		o.notifyDocument(now)
 	}
 }
 
-// publishDocument adds the document in force to what is published.
-func (o *owner) publishDocument(current *published, version uint64, compressed []byte) error {
+// encodeDocument adds the document in force to the published state.
+func (o *owner) encodeDocument(current *publishedState, version uint64, compressed []byte) error {
 	document, err := route.Expand(compressed)
 	if err != nil {
 		return err
--- a/internal/program/registry/registry.go
+++ b/internal/program/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry is the controller of pass-through deployments: one replica
-// of the document in force, and a list of the live agents.
+// Package registry is the controller of pass-through deployments: it holds a replica
+// of the document in force and the list of live agents.
 //
 // # Usage
 //
@@ -10,14 +10,14 @@
 //
 // # Structure
 //
-// One goroutine, the owner, holds the replicated log and the catalog. It may
-// wait for the disk. Polls of instances are answered from what the owner has
+// One goroutine, the owner, holds the replicated log and the catalog. It may block
+// on the disk. Polls of instances are answered from the state that the owner has
 // published, so they don't wait for it. The list of agents is soft state that
 // each controller builds from the polls.
 //
-// Unlike package controller, a registry needs no keys, founds a group from
-// addresses alone, and replaces members by itself: the deployments of
-// pass-through services have no operator who would do that.
+// Unlike package controller, a registry needs no keys, forms a group from
+// addresses alone, and replaces members by itself: deployments of
+// pass-through services have no operator who does that.
 package registry
 
 import (
@@ -48,13 +48,13 @@
 const (
 	KindListen      Kind = "listen"      // a socket cannot be opened
 	KindNotLeader   Kind = "not leader"  // another controller answers; Leader names it if it is known
-	KindUnavailable Kind = "unavailable" // no answer that is certain to be right; the caller may try again
+	KindUnavailable Kind = "unavailable" // no reliable answer; the caller may try again
 	KindInvalid     Kind = "invalid"     // the document breaks a rule
 	KindTooLarge    Kind = "too large"   // the document exceeds MaxDocumentBytes
 	KindStorage     Kind = "storage"     // the data directory cannot be read or written
 )
 
-// MaxDocumentBytes bounds a document as its operator sends it.
+// MaxDocumentBytes limits the size of a document as its operator sends it.
 const MaxDocumentBytes = 1 << 20
 
 // Error is the error type of this package. It may name the leader.
@@ -85,62 +85,63 @@
 
 // Settings configures a controller.
 type Settings struct {
-	Inner     netip.AddrPort // messages of the other processes
+	Inner     netip.AddrPort // address for messages between processes
 	Directory string         // data directory, created if it does not exist
 	Seeds     func() []flow.Endpoint
 	// First is set when the whole deployment starts for the first time, with
-	// empty disks. The seeds then found the group.
+	// empty disks. The seeds then form the group.
 	First bool
 	// Losses is the number of disks that may be lost at once.
 	Losses int
 }
 
-// Interpret reads a document in the format of its source.
+// Interpret decodes a document in the format of its source.
 type Interpret func(document []byte) (*route.Document, error)
 
 // Registry is one controller.
 type Registry struct {
-	settings  Settings
-	interpret Interpret
-	logger    *slog.Logger
-	self      flow.Endpoint
-	inner     *frag.Conn
-	started   time.Time
-	events    chan event
-	published atomic.Pointer[published]
-	accepts   *latency.Histogram // time until a document was accepted
-	overflow  atomic.Uint64      // messages dropped because the owner was too slow
-	keeper    *keeper
-
-	mutex    sync.Mutex // guards the list of agents and the pollers
-	list     *roster.List
-	pollers  map[netip.AddrPort]*poller
-	notified uint64 // version that the pollers were told of
+	settings        Settings
+	interpret       Interpret
+	logger          *slog.Logger
+	self            flow.Endpoint
+	conn            *frag.Conn
+	started         time.Time
+	events          chan event
+	published       atomic.Pointer[publishedState]
+	acceptLatency   *latency.Histogram // time until a document was accepted
+	droppedMessages atomic.Uint64      // messages dropped because the owner was too slow
+	checkpoints     *checkpointService
+
+	mutex           sync.Mutex // guards the list of agents and the pollers
+	agents          *roster.List
+	pollers         map[netip.AddrPort]*poller
+	notifiedVersion uint64 // newest version that the pollers were notified of
 }
 
-// published is what the owner tells all other goroutines.
-type published struct {
-	at          time.Time
+// publishedState is what the owner shares with the other goroutines.
+type publishedState struct {
+	publishedAt time.Time
 	version     uint64
 	encoded     []byte // route.Document
 	controllers []flow.Endpoint
-	led         bool // a leader is known
+	hasLeader   bool // a leader is known
 }
 
 // event is an input of the owner.
 type event func(o *owner, now time.Time)
 
 const (
-	// inboxSize bounds the events that wait for the owner. Messages beyond it
-	// are dropped, and their senders repeat them.
-	inboxSize = 512
+	// maxPendingEvents limits the events that wait for the owner. Messages beyond
+	// it are dropped, and their senders repeat them.
+	maxPendingEvents = 512
 
-	// settleTime is two polls of each agent: from then on a list is complete.
-	settleTime = time.Second
+	// settleDelay is two polls of each agent: after it the list of agents is
+	// complete.
+	settleDelay = time.Second
 
-	// ownerTimeout is the age from which what the owner has published says
-	// nothing about the group: the owner waits for its disk.
-	ownerTimeout = 500 * time.Millisecond
+	// maxPublishedAge is the age beyond which the published state says nothing
+	// about the group: the owner is blocked on its disk.
+	maxPublishedAge = 500 * time.Millisecond
 )
 
 // New opens the socket. The data directory is opened by Run, because a disk may
@@ -151,53 +152,54 @@
 		return nil, newError("listen", KindListen, errors.New("the address is not IPv4"))
 	}
 
-	inner, err := frag.Listen(settings.Inner, logger)
+	conn, err := frag.Listen(settings.Inner, logger)
 	if err != nil {
 		return nil, newError("listen", KindListen, err)
 	}
 
 	r := &Registry{
-		settings: settings, interpret: interpret, logger: logger, self: self, inner: inner, started: time.Now(),
-		events: make(chan event, inboxSize), accepts: latency.New(),
-		list: roster.New(rand.Uint64() | 1), pollers: make(map[netip.AddrPort]*poller),
+		settings: settings, interpret: interpret, logger: logger, self: self, conn: conn, started: time.Now(),
+		events: make(chan event, maxPendingEvents), acceptLatency: latency.New(),
+		agents: roster.New(rand.Uint64() | 1), pollers: make(map[netip.AddrPort]*poller),
 	}
-	r.published.Store(&published{})
-	r.keeper = newKeeper(filepath.Join(settings.Directory, flowsDirectory), inner, logger)
+	r.published.Store(&publishedState{})
+	r.checkpoints = newCheckpointService(filepath.Join(settings.Directory, flowsDirectory), conn, logger)
 
 	return r, nil
 }
 
-// Run runs the controller until ctx ends. A leader hands over first.
+// Run runs the controller until ctx ends. A leader transfers its leadership
+// first.
 func (r *Registry) Run(ctx context.Context) error {
 	running, stop := context.WithCancelCause(context.WithoutCancel(ctx))
-	parts := group.New(stop)
+	tasks := group.New(stop)
 	o := newOwner(r)
 
-	parts.Go(func() { o.run(running) })
-	parts.Go(func() { r.inner.Serve(r.handle) })
-	parts.Go(func() { r.watch(running) })
-	parts.Go(func() { r.keeper.run(running) })
+	tasks.Go(func() { o.run(running) })
+	tasks.Go(func() { r.conn.Serve(r.handle) })
+	tasks.Go(func() { r.expireSilent(running) })
+	tasks.Go(func() { r.checkpoints.run(running) })
 
 	select {
 	case <-ctx.Done():
-		r.handOver()
+		r.transferLeadership()
 	case <-running.Done():
 	}
 
 	stop(nil)
 
-	closing := r.inner.Close()
+	closeErr := r.conn.Close()
 
-	parts.Wait()
+	tasks.Wait()
 
 	if cause := context.Cause(running); !errors.Is(cause, context.Canceled) {
 		return cause
 	}
 
-	return closing
+	return closeErr
 }
 
-// Metrics is what a controller counts.
+// Metrics holds the counters of a controller.
 type Metrics struct {
 	Version     uint64          `json:"version"` // of the document in force
 	Agents      int             `json:"agents"`
@@ -214,28 +216,28 @@
 	current := r.published.Load()
 
 	return Metrics{
-		Version: current.version, Agents: r.Agents(), Controllers: len(current.controllers), Led: current.led,
-		Accepted: r.accepts.Summary(), Malformed: r.inner.Dropped(),
-		Overflow: r.overflow.Load() + r.keeper.overflow.Load(), Remembered: r.keeper.bytes(),
+		Version: current.version, Agents: r.Agents(), Controllers: len(current.controllers), Led: current.hasLeader,
+		Accepted: r.acceptLatency.Summary(), Malformed: r.conn.Dropped(),
+		Overflow: r.droppedMessages.Load() + r.checkpoints.droppedBatches.Load(), Remembered: r.checkpoints.bytes(),
 	}
 }
 
-// handOverTimeout is the time in which a leader that stops looks for another
-// one: two elections.
-const handOverTimeout = 800 * time.Millisecond
+// transferTimeout is how long a leader that stops waits for its successor: two
+// elections.
+const transferTimeout = 800 * time.Millisecond
 
-func (r *Registry) handOver() {
+func (r *Registry) transferLeadership() {
 	done := make(chan struct{})
 
 	select {
-	case r.events <- func(o *owner, now time.Time) { o.handOver(now, done) }:
+	case r.events <- func(o *owner, now time.Time) { o.transferLeadership(now, done) }:
 	default:
-		return // the owner is stuck, so it does not lead any more
+		return // the owner is blocked, so it no longer leads
 	}
 
 	select {
 	case <-done:
-	case <-time.After(handOverTimeout):
+	case <-time.After(transferTimeout):
 	}
 }
 
@@ -250,17 +252,17 @@
 
 	switch kind {
 	case wire.KindPoll:
-		err = r.polled(from, body)
+		err = r.handlePoll(from, body)
 	case wire.KindFetch:
-		err = r.fetched(from, body)
+		err = r.handleFetch(from, body)
 	case wire.KindReplicate, wire.KindEnter, wire.KindEnterReply:
-		r.pass(from, kind, append([]byte(nil), body...))
+		r.enqueue(from, kind, append([]byte(nil), body...))
 	case wire.KindCheckpoint:
-		r.keeper.receive(from, body)
+		r.checkpoints.enqueue(from, body)
 	case wire.KindRecall:
-		err = r.keeper.recall(from, body)
+		err = r.checkpoints.recall(from, body)
 	default:
-		err = errors.New("nobody waits for this kind")
+		err = errors.New("unexpected message kind")
 	}
 
 	if err != nil {
@@ -268,11 +270,11 @@
 	}
 }
 
-// pass hands a message to the owner, or drops it if the owner is too slow.
-func (r *Registry) pass(from netip.AddrPort, kind wire.Kind, body []byte) {
+// enqueue hands a message to the owner, or drops it if the owner is too slow.
+func (r *Registry) enqueue(from netip.AddrPort, kind wire.Kind, body []byte) {
 	select {
 	case r.events <- func(o *owner, now time.Time) { o.receive(now, from, kind, body) }:
 	default:
-		r.overflow.Add(1)
+		r.droppedMessages.Add(1)
 	}
 }
--- a/internal/program/registry/registry_test.go
+++ b/internal/program/registry/registry_test.go
@@ -20,18 +20,18 @@
 	"jayspindle/internal/state/route"
 )
 
-// patience bounds the waits for a state. Elections take less than a second.
-const patience = 20 * time.Second
+// waitTimeout limits the wait for a condition. Elections take less than a second.
+const waitTimeout = 20 * time.Second
 
-// network hands out loopback addresses, one for each controller of a test.
-var network atomic.Int32
+// lastSubnet numbers the loopback subnets, one for each cluster of a test.
+var lastSubnet atomic.Int32
 
-// controllers is a group of controllers of one test, all on one port.
-type controllers struct {
+// cluster is the group of controllers of one test, all on one port.
+type cluster struct {
 	*testing.T
 	is        *is.I
 	directory string
-	net       int32
+	subnet    int32
 	port      uint16
 	seeds     []flow.Endpoint
 
@@ -45,11 +45,11 @@
 	done chan error
 }
 
-func newControllers(t *testing.T) *controllers {
+func newCluster(t *testing.T) *cluster {
 	t.Helper()
 
-	c := &controllers{
-		T: t, is: is.New(t), directory: t.TempDir(), net: 40 + network.Add(1), port: 21_000,
+	c := &cluster{
+		T: t, is: is.New(t), directory: t.TempDir(), subnet: 40 + lastSubnet.Add(1), port: 21_000,
 		running: make(map[int]*process),
 	}
 
@@ -66,8 +66,8 @@
 	return c
 }
 
-func (c *controllers) address(number int) flow.Endpoint {
-	return flow.Endpoint{IP: [4]byte{127, 0, byte(c.net), byte(number)}, Port: c.port}
+func (c *cluster) address(number int) flow.Endpoint {
+	return flow.Endpoint{IP: [4]byte{127, 0, byte(c.subnet), byte(number)}, Port: c.port}
 }
 
 func interpret(document []byte) (*route.Document, error) {
@@ -76,8 +76,8 @@
 	return decoded, json.Unmarshal(document, decoded)
 }
 
-// start starts a controller with the disk of that name.
-func (c *controllers) start(number int, disk string, first bool) {
+// start starts a controller with the data directory of that name.
+func (c *cluster) start(number int, disk string, first bool) {
 	c.Helper()
 
 	built, err := registry.New(registry.Settings{
@@ -97,7 +97,7 @@
 	c.running[number] = started
 }
 
-func (c *controllers) found(count int) {
+func (c *cluster) bootstrap(count int) {
 	c.Helper()
 
 	for number := range count {
@@ -105,7 +105,7 @@
 	}
 }
 
-func (c *controllers) kill(number int) {
+func (c *cluster) kill(number int) {
 	c.Helper()
 
 	stopped := c.running[number]
@@ -130,7 +130,7 @@
 }
 
 // submit sends a document to any controller until one accepts it.
-func (c *controllers) submit(version uint64) {
+func (c *cluster) submit(version uint64) {
 	c.Helper()
 
 	c.eventually(fmt.Sprintf("version %d is accepted", version), func() bool {
@@ -146,8 +146,8 @@
 	})
 }
 
-// reads checks that whoever answers has the version.
-func (c *controllers) reads(version uint64) {
+// expectDocument checks that every controller that answers has the version.
+func (c *cluster) expectDocument(version uint64) {
 	c.Helper()
 
 	c.eventually(fmt.Sprintf("version %d is read", version), func() bool {
@@ -169,7 +169,7 @@
 	})
 }
 
-func (c *controllers) members(want ...int) {
+func (c *cluster) expectMembers(want ...int) {
 	c.Helper()
 
 	c.eventually(fmt.Sprintf("the members are %v", want), func() bool {
@@ -193,25 +193,25 @@
 	})
 }
 
-func (c *controllers) eventually(what string, condition func() bool) {
+func (c *cluster) eventually(what string, condition func() bool) {
 	c.Helper()
 
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
 
-	c.Fatalf("not within %v: %s", patience, what)
+	c.Fatalf("not within %v: %s", waitTimeout, what)
 }
 
 // TestFound guards against a group that accepts documents before enough disks
-// store them, or that leaves out controllers that are no seeds.
+// store them, or that leaves out controllers that are not seeds.
 func TestFound(t *testing.T) {
 	t.Parallel()
 
-	c := newControllers(t)
-	c.found(3)
+	c := newCluster(t)
+	c.bootstrap(3)
 	time.Sleep(2 * time.Second)
 
 	for _, p := range c.running {
@@ -225,8 +225,8 @@
 	c.start(4, "4", true)
 	c.start(5, "5", true)
 	c.submit(1)
-	c.members(1, 2, 3, 4, 5)
-	c.reads(1)
+	c.expectMembers(1, 2, 3, 4, 5)
+	c.expectDocument(1)
 }
 
 // TestRepeat guards against a repeated, older or different document that
@@ -234,12 +234,12 @@
 func TestRepeat(t *testing.T) {
 	t.Parallel()
 
-	c := newControllers(t)
-	c.found(5)
+	c := newCluster(t)
+	c.bootstrap(5)
 	c.submit(7)
 	c.submit(7)
 	c.submit(3)
-	c.reads(7)
+	c.expectDocument(7)
 
 	for _, p := range c.running {
 		var failed *registry.Error
@@ -253,16 +253,16 @@
 		c.is.Equal(failed.Kind(), registry.KindTooLarge)
 	}
 
-	c.reads(7)
+	c.expectDocument(7)
 }
 
-// TestRestartAll guards against an accepted document that is gone after all
-// controllers have stopped, and against a group that does not come back.
+// TestRestartAll guards against losing an accepted document when all controllers
+// stop, and against a group that does not come back.
 func TestRestartAll(t *testing.T) {
 	t.Parallel()
 
-	c := newControllers(t)
-	c.found(5)
+	c := newCluster(t)
+	c.bootstrap(5)
 	c.submit(1)
 
 	for number := range 5 {
@@ -273,20 +273,20 @@
 		c.start(number+1, fmt.Sprint(number+1), false)
 	}
 
-	c.reads(1)
+	c.expectDocument(1)
 	c.submit(2)
-	c.reads(2)
+	c.expectDocument(2)
 }
 
 // TestLostDisks guards against the loss of an accepted document when two disks
-// are lost, and against replicas with empty disks that count as old ones.
+// are lost, and against counting replicas with empty disks as the old ones.
 func TestLostDisks(t *testing.T) {
 	t.Parallel()
 
-	c := newControllers(t)
-	c.found(5)
+	c := newCluster(t)
+	c.bootstrap(5)
 	c.submit(1)
-	c.members(1, 2, 3, 4, 5)
+	c.expectMembers(1, 2, 3, 4, 5)
 
 	for round := range 2 {
 		for _, number := range []int{1 + round, 4 + round} {
@@ -297,41 +297,41 @@
 			c.start(number, fmt.Sprintf("%d-%d", number, round), false)
 		}
 
-		c.reads(uint64(1 + round))
+		c.expectDocument(uint64(1 + round))
 		c.submit(uint64(2 + round))
-		c.members(1, 2, 3, 4, 5)
+		c.expectMembers(1, 2, 3, 4, 5)
 	}
 
-	c.reads(3)
+	c.expectDocument(3)
 }
 
-// TestReplaced guards against a group that waits for a controller that is gone
-// for good, and against a newcomer that is never heard.
+// TestReplaced guards against a group that waits for a controller that never
+// returns, and against a new controller that is never added.
 func TestReplaced(t *testing.T) {
 	t.Parallel()
 
-	c := newControllers(t)
-	c.found(5)
+	c := newCluster(t)
+	c.bootstrap(5)
 	c.submit(1)
 	c.kill(2)
 	c.start(6, "6", false)
-	c.members(1, 3, 4, 5, 6)
+	c.expectMembers(1, 3, 4, 5, 6)
 	c.submit(2)
-	c.reads(2)
+	c.expectDocument(2)
 
-	// The one that was given up comes back: it is a member again.
+	// The removed controller returns and becomes a member again.
 	c.start(2, "2", false)
-	c.members(1, 2, 3, 4, 5, 6)
-	c.reads(2)
+	c.expectMembers(1, 2, 3, 4, 5, 6)
+	c.expectDocument(2)
 }
 
-// TestMinority guards against documents and answers of controllers that have
-// lost the others.
+// TestMinority guards against controllers that accept or return documents
+// although they have lost the majority.
 func TestMinority(t *testing.T) {
 	t.Parallel()
 
-	c := newControllers(t)
-	c.found(5)
+	c := newCluster(t)
+	c.bootstrap(5)
 	c.submit(1)
 
 	for number := range 3 {
--- a/internal/program/registry/serve.go
+++ b/internal/program/registry/serve.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// watchInterval is how often silent agents are looked for.
-	watchInterval = 100 * time.Millisecond
+	// expireInterval is how often silent agents and instances are looked for.
+	expireInterval = 100 * time.Millisecond
 
-	// pollerTimeout is how long an instance that does not poll any more is told
-	// of news.
+	// pollerTimeout is how long an instance that no longer polls is still
+	// notified.
 	pollerTimeout = 3 * time.Second
 
-	// repeatNews is how often an instance is told of a document that it does
-	// not have: the message may be lost.
-	repeatNews = 60 * time.Millisecond
+	// repeatInterval is how often an instance is notified of a document that it
+	// does not have: the message may be lost.
+	repeatInterval = 60 * time.Millisecond
 
-	// newsSpacing is the least time between two news for one instance about
-	// agents. An instance that polls later gets all changes at once.
-	newsSpacing = 30 * time.Millisecond
+	// minNotifyInterval is the minimum time between two notifications of one
+	// instance about agents. An instance that polls later gets all changes at
+	// once.
+	minNotifyInterval = 30 * time.Millisecond
 
-	// maxRepeats bounds the repetitions for one document.
+	// maxRepeats limits the repeated notifications about one document.
 	maxRepeats = 10
 )
 
-// poller is an instance that polls.
+// poller is the state of an instance that polls.
 type poller struct {
-	heard    time.Time
-	follows  bool
-	version  uint64 // of the document that it has
-	told     time.Time
-	repeated int
+	lastPoll     time.Time
+	follows      bool
+	version      uint64 // of the document that it has
+	lastNotified time.Time
+	repeats      int
 }
 
-// polled answers the poll of an instance.
-func (r *Registry) polled(from netip.AddrPort, body []byte) error {
+// handlePoll answers the poll of an instance.
+func (r *Registry) handlePoll(from netip.AddrPort, body []byte) error {
 	poll, err := wire.Decode[wire.Poll](body)
 	if err != nil {
 		return err
@@ -49,18 +50,18 @@
 	current := r.published.Load()
 
 	r.mutex.Lock()
-	urgent := r.note(now, from, poll)
+	urgent := r.recordPoll(now, from, poll)
 	reply := wire.PollReply{
 		Sequence: poll.Sequence, Version: current.version, Controllers: current.controllers, Settled: r.settled(now, current),
 	}
 
 	if poll.Follows {
-		r.fill(&reply, poll)
+		r.addAgents(&reply, poll)
 	}
 	r.mutex.Unlock()
 
 	if urgent {
-		r.agentNews(now)
+		r.notifyFollowers(now)
 	}
 
 	if poll.Quiet && current.version <= poll.Version {
@@ -72,21 +73,21 @@
 		return err
 	}
 
-	return r.inner.Send(from, message)
+	return r.conn.Send(from, message)
 }
 
-// note notes what a poll tells and reports whether followers should know at
-// once. The caller holds the mutex.
-func (r *Registry) note(now time.Time, from netip.AddrPort, poll wire.Poll) bool {
+// recordPoll records the contents of a poll and reports whether followers should
+// be notified at once. The caller holds the mutex.
+func (r *Registry) recordPoll(now time.Time, from netip.AddrPort, poll wire.Poll) bool {
 	known := r.pollers[from]
 	if known == nil {
 		known = &poller{}
 		r.pollers[from] = known
 	}
 
-	r.keeper.heard(now, from, poll.Agent)
+	r.checkpoints.recordPoll(now, from, poll.Agent)
 
-	known.heard, known.version = now, poll.Version
+	known.lastPoll, known.version = now, poll.Version
 	known.follows = known.follows || poll.Follows
 
 	if poll.Agent == nil {
@@ -96,37 +97,38 @@
 	record := *poll.Agent
 	record.Boot = poll.Boot
 
-	before := r.list.Position()
-	urgent := r.list.Announce(now, record, poll.Sequence)
+	before := r.agents.Position()
+	urgent := r.agents.Announce(now, record, poll.Sequence)
 
 	if urgent {
 		r.logger.Info("an agent changed", "agent", record.Address.String(), "service", record.Service,
-			"state", record.State.String(), "position", r.list.Position(), "before", before)
+			"state", record.State.String(), "position", r.agents.Position(), "before", before)
 	}
 
 	return urgent
 }
 
-// settled reports whether document and list are complete and current.
-func (r *Registry) settled(now time.Time, current *published) bool {
-	return current.led && now.Sub(current.at) < ownerTimeout && now.Sub(r.started) > settleTime
+// settled reports whether the document and the list of agents are complete and
+// current.
+func (r *Registry) settled(now time.Time, current *publishedState) bool {
+	return current.hasLeader && now.Sub(current.publishedAt) < maxPublishedAge && now.Sub(r.started) > settleDelay
 }
 
-// fill adds the list of agents, or the changes that the sender lacks. The
-// caller holds the mutex.
-func (r *Registry) fill(reply *wire.PollReply, poll wire.Poll) {
+// addAgents adds the list of agents to a reply, or only the changes that the
+// sender lacks. The caller holds the mutex.
+func (r *Registry) addAgents(reply *wire.PollReply, poll wire.Poll) {
 	position := poll.Position
-	if poll.Epoch != r.list.Epoch() || position > r.list.Position() {
+	if poll.Epoch != r.agents.Epoch() || position > r.agents.Position() {
 		position = 0
 	}
 
-	reply.Epoch = r.list.Epoch()
+	reply.Epoch = r.agents.Epoch()
 	reply.Whole = position == 0
-	reply.Agents, reply.Position = r.list.Since(position)
+	reply.Agents, reply.Position = r.agents.Since(position)
 }
 
-// fetched sends the document in force.
-func (r *Registry) fetched(from netip.AddrPort, body []byte) error {
+// handleFetch sends the document in force.
+func (r *Registry) handleFetch(from netip.AddrPort, body []byte) error {
 	fetch, err := wire.Decode[wire.Fetch](body)
 	if err != nil {
 		return err
@@ -137,63 +139,64 @@
 		return nil
 	}
 
-	return r.inner.Send(from, append([]byte{byte(wire.KindDocument)}, current.encoded...))
+	return r.conn.Send(from, append([]byte{byte(wire.KindDocument)}, current.encoded...))
 }
 
-// news tells instances to poll now.
-func (r *Registry) news(now time.Time, wanted func(p *poller) bool) {
+// notify tells the instances that match the filter to poll now.
+func (r *Registry) notify(now time.Time, filter func(p *poller) bool) {
 	var addresses []netip.AddrPort
 
 	r.mutex.Lock()
 	for address, p := range r.pollers {
-		if now.Sub(p.heard) < pollerTimeout && wanted(p) {
-			p.told = now
+		if now.Sub(p.lastPoll) < pollerTimeout && filter(p) {
+			p.lastNotified = now
 			addresses = append(addresses, address)
 		}
 	}
 	r.mutex.Unlock()
 
 	for _, address := range addresses {
-		if err := r.inner.Send(address, []byte{byte(wire.KindNews)}); err != nil {
-			r.logger.Debug("news did not leave", "to", address, "error", err)
+		if err := r.conn.Send(address, []byte{byte(wire.KindNews)}); err != nil {
+			r.logger.Debug("could not send a notification", "to", address, "error", err)
 		}
 	}
 }
 
-// agentNews tells the instances that follow the list of a change.
-func (r *Registry) agentNews(now time.Time) {
-	r.news(now, func(p *poller) bool { return p.follows && now.Sub(p.told) >= newsSpacing })
+// notifyFollowers notifies the instances that follow the list of agents of a
+// change.
+func (r *Registry) notifyFollowers(now time.Time) {
+	r.notify(now, func(p *poller) bool { return p.follows && now.Sub(p.lastNotified) >= minNotifyInterval })
 }
 
-// documentNews tells all instances of a new document, and again those that do
-// not have it.
-func (r *Registry) documentNews(now time.Time) {
+// notifyDocument notifies all instances of a new document, and repeats this for
+// those that do not have it.
+func (r *Registry) notifyDocument(now time.Time) {
 	version := r.published.Load().version
 
 	r.mutex.Lock()
-	if version > r.notified {
-		r.notified = version
+	if version > r.notifiedVersion {
+		r.notifiedVersion = version
 
 		for _, p := range r.pollers {
-			p.told, p.repeated = time.Time{}, 0
+			p.lastNotified, p.repeats = time.Time{}, 0
 		}
 	}
 	r.mutex.Unlock()
 
-	r.news(now, func(p *poller) bool {
-		if p.version >= version || now.Sub(p.told) < repeatNews || p.repeated >= maxRepeats {
+	r.notify(now, func(p *poller) bool {
+		if p.version >= version || now.Sub(p.lastNotified) < repeatInterval || p.repeats >= maxRepeats {
 			return false
 		}
 
-		p.repeated++
+		p.repeats++
 
 		return true
 	})
 }
 
-// watch notices agents and instances that fell silent.
-func (r *Registry) watch(ctx context.Context) {
-	ticker := time.NewTicker(watchInterval)
+// expireSilent removes agents and instances that fell silent, until ctx ends.
+func (r *Registry) expireSilent(ctx context.Context) {
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
 
 	for {
@@ -206,10 +209,10 @@
 		now := time.Now()
 
 		r.mutex.Lock()
-		changed := r.list.Expire(now)
+		changed := r.agents.Expire(now)
 
 		for address, p := range r.pollers {
-			if now.Sub(p.heard) > pollerTimeout {
+			if now.Sub(p.lastPoll) > pollerTimeout {
 				delete(r.pollers, address)
 			}
 		}
@@ -217,10 +220,10 @@
 
 		if changed {
 			r.logger.Warn("agents fell silent", "agents", r.Agents())
-			r.agentNews(now)
+			r.notifyFollowers(now)
 		}
 
-		r.documentNews(now)
+		r.notifyDocument(now)
 	}
 }
 
@@ -229,7 +232,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 
-	return r.list.Len()
+	return r.agents.Len()
 }
 
 // Controllers returns the members of the group.
--- a/internal/program/registry/serve_test.go
+++ b/internal/program/registry/serve_test.go
@@ -7,20 +7,20 @@
 )
 
 // TestQuietPoll guards against controllers that answer every poll of every
-// instance, which is a third of the bytes for control, and against instances that
-// do not learn of a document because they follow another controller.
+// instance, which makes up a third of the control traffic in bytes, and against
+// instances that miss a document because they follow another controller.
 func TestQuietPoll(t *testing.T) {
-	c := newControllers(t)
-	c.found(5)
+	c := newCluster(t)
+	c.bootstrap(5)
 	c.submit(5)
 
-	instance := newCorrespondent(t, c.address(99).AddrPort())
+	instance := newClient(t, c.address(99).AddrPort())
 
 	poll := func(body wire.Poll) []byte {
 		message, err := wire.Encode(wire.KindPoll, body)
 		c.is.NoErr(err)
 
-		return instance.send(c.address(1), message, wire.KindPollReply)
+		return instance.request(c.address(1), message, wire.KindPollReply)
 	}
 
 	c.eventually("an older document is answered", func() bool { return poll(wire.Poll{Quiet: true, Version: 4}) != nil })
--- a/internal/program/registry/storage.go
+++ b/internal/program/registry/storage.go
@@ -16,19 +16,19 @@
 
 // reopen opens the data directory and continues from what it holds.
 func (o *owner) reopen(now time.Time) {
-	o.opened = now
+	o.lastOpen = now
 
 	if err := o.open(now); err != nil {
-		o.logger.Warn("the data directory cannot be used", "error", err)
-		o.drop()
+		o.logger.Warn("could not open the data directory", "error", err)
+		o.closeStorage()
 	}
 }
 
 func (o *owner) open(now time.Time) error {
 	// The disks of these deployments do not store permissions.
 	options := []wal.Option{wal.WithFiles(wal.WithoutModes())}
-	if o.founds() {
-		options = append(options, wal.WithReplica(replicaOf(o.self)))
+	if o.isInitialMember() {
+		options = append(options, wal.WithReplica(initialReplicaID(o.self)))
 	}
 
 	log, err := wal.Open(filepath.Join(o.settings.Directory, replicaDirectory), options...)
@@ -40,11 +40,11 @@
 	stored := log.Stored()
 
 	if log.Identity().Cluster == 0 {
-		if !o.founds() {
+		if !o.isInitialMember() {
 			return nil // the group adds the replica
 		}
 
-		if err := o.found(&stored); err != nil {
+		if err := o.bootstrap(&stored); err != nil {
 			return err
 		}
 	}
@@ -52,48 +52,48 @@
 	return o.start(now, stored)
 }
 
-// drop stops using the data directory. What was applied stays.
-func (o *owner) drop() {
+// closeStorage stops using the data directory. The applied state is kept.
+func (o *owner) closeStorage() {
 	if o.log != nil {
 		if err := o.log.Close(); err != nil {
-			o.logger.Debug("the data directory did not close", "error", err)
+			o.logger.Debug("could not close the data directory", "error", err)
 		}
 	}
 
 	o.log, o.node, o.leading = nil, nil, false
-	o.dropCallers(errors.New("the data directory failed"))
+	o.failCallers(errors.New("the data directory failed"))
 }
 
-// founds reports whether the replica is a first member of the group.
-func (o *owner) founds() bool {
+// isInitialMember reports whether the replica is an initial member of the group.
+func (o *owner) isInitialMember() bool {
 	return o.settings.First && slices.Contains(o.settings.Seeds(), o.self)
 }
 
-// replicaOf returns the identity of a first member, which all others can work
-// out.
-func replicaOf(address flow.Endpoint) wal.ReplicaID {
+// initialReplicaID derives the identity of an initial member from its address, so
+// that all others can compute it.
+func initialReplicaID(address flow.Endpoint) wal.ReplicaID {
 	ip := uint64(binary.BigEndian.Uint32(address.IP[:]))
 
 	return wal.ReplicaID(flow.Mix(ip<<16|uint64(address.Port)) | 1)
 }
 
-// found stores the state that all first members start from. They work it out
+// bootstrap stores the state that all initial members start from. They compute it
 // from the seeds, so none has to wait for another.
-func (o *owner) found(stored *raft.Stored) error {
+func (o *owner) bootstrap(stored *raft.Stored) error {
 	var (
 		members []raft.Member
 		id      uint64
 	)
 
 	for _, seed := range o.settings.Seeds() {
-		members = append(members, raft.Member{ID: replicaOf(seed), Address: seed.String()})
-		id ^= flow.Mix(uint64(replicaOf(seed)))
+		members = append(members, raft.Member{ID: initialReplicaID(seed), Address: seed.String()})
+		id ^= flow.Mix(uint64(initialReplicaID(seed)))
 	}
 
-	founding := catalog.Founding{Generation: firstGeneration, Preapproved: true}
-	binary.BigEndian.PutUint64(founding.Cluster[:], id|1)
+	initial := catalog.Founding{Generation: firstGeneration, Preapproved: true}
+	binary.BigEndian.PutUint64(initial.Cluster[:], id|1)
 
-	state, err := catalog.New(founding)
+	state, err := catalog.New(initial)
 	if err != nil {
 		return err
 	}
@@ -103,8 +103,8 @@
 		return err
 	}
 
-	// The snapshot is saved before the group: a crash in between leads here
-	// again, with the same snapshot.
+	// The snapshot is saved before the group is joined: after a crash in between,
+	// bootstrap runs again with the same snapshot.
 	if stored.Snapshot.Index == 0 {
 		stored.Snapshot = raft.Bootstrap(members, data)
 		if err := o.log.SaveSnapshot(&stored.Snapshot); err != nil {
@@ -112,7 +112,7 @@
 		}
 	}
 
-	o.logger.Info("founds a group", "cluster", wal.ClusterID(id|1).String(), "members", len(members))
+	o.logger.Info("bootstraps a group", "cluster", wal.ClusterID(id|1).String(), "members", len(members))
 
 	return o.log.Join(wal.ClusterID(id|1), firstGeneration)
 }
@@ -133,15 +133,15 @@
 		Replica: identity.Replica, Cluster: identity.Cluster, Generation: identity.Generation,
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Now: now,
 		ElectionTimeout: electionTimeout, HeartbeatInterval: heartbeatInterval,
-		MaxProposalBytes: MaxDocumentBytes, MaxAppendBytes: maxMessage, ChunkBytes: maxMessage,
+		MaxProposalBytes: MaxDocumentBytes, MaxAppendBytes: maxMessageBytes, ChunkBytes: maxMessageBytes,
 	}, stored)
 	if err != nil {
 		return err
 	}
 
 	o.state, o.node = state, node
-	o.applied, o.captured = stored.Snapshot.Index, stored.Snapshot.Index
-	o.learnAddresses()
+	o.appliedIndex, o.snapshotIndex = stored.Snapshot.Index, stored.Snapshot.Index
+	o.updateAddresses()
 	o.logger.Info("continues as a replica", "replica", identity.Replica.String(),
 		"snapshot", stored.Snapshot.Index, "entries", len(stored.Entries), "members", len(node.Status().Members))
 
