--- a/internal/program/inspect/inspect.go
+++ b/internal/program/inspect/inspect.go
@@ -1,5 +1,5 @@
-// Package inspect asks the controllers and agents of pass-through services what
-// they know, for operators.
+// Package inspect queries the controllers and agents of pass-through services
+// for operators.
 //
 // # Usage
 //
@@ -9,7 +9,7 @@
 //	found, err := inspector.Flow(ctx, controllers, key)
 //
 // It polls like an instance that follows the list of agents, and asks agents like
-// an entry instance that looks for a flow. Both leave nothing behind.
+// an entry instance that looks for a flow. Neither changes documents, agents or flows.
 package inspect
 
 import (
@@ -46,21 +46,21 @@
 	return failure.New("inspect", operation, kind, err)
 }
 
-// repeatAfter is how often a question without an answer is sent again: messages
-// may be lost.
-const repeatAfter = 100 * time.Millisecond
+// resendInterval is how often a question without an answer is sent again:
+// messages may be lost.
+const resendInterval = 100 * time.Millisecond
 
-// Controller is what one controller says.
+// Controller is what one controller reports.
 type Controller struct {
 	Address string `json:"address"`
 	Answers bool   `json:"answers"`
-	Settled bool   `json:"settled"` // it hears its group, and its list of agents is complete
+	Settled bool   `json:"settled"` // it knows a leader, and its list of agents is complete
 	Version uint64 `json:"version"` // of the document in force
 	Agents  int    `json:"agents"`
 	Members int    `json:"members"` // controllers of the group
 }
 
-// Agent is what the controllers say of an agent.
+// Agent is what the controllers report about an agent.
 type Agent struct {
 	Address string `json:"address"`
 	Service string `json:"service"`
@@ -85,13 +85,13 @@
 	Weight  uint32 `json:"weight"`
 }
 
-// Holding is what an agent says of a flow.
+// Holding is what an agent reports about a flow.
 type Holding struct {
 	Agent
 	Answer string `json:"answer"` // "holds the flow", "does not hold it", "does not know" or "no answer"
 }
 
-// Flow is what is known of a flow.
+// Flow is what controllers and agents report about a flow.
 type Flow struct {
 	Flow    string    `json:"flow"`
 	Version uint64    `json:"version"` // of the document in force
@@ -105,15 +105,15 @@
 	return slices.ContainsFunc(f.Agents, func(h Holding) bool { return h.Answer == answerText(flow.Held) })
 }
 
-// Inspector sends questions and gathers the answers.
+// Inspector sends questions and collects the answers.
 type Inspector struct {
 	conn *frag.Conn
 
-	mutex     sync.Mutex
-	replies   map[flow.Endpoint]wire.PollReply
-	documents map[uint64]*route.Document
-	located   map[flow.Endpoint]flow.Answer // by the address of the answer
-	changed   chan struct{}
+	mutex         sync.Mutex
+	replies       map[flow.Endpoint]wire.PollReply
+	documents     map[uint64]*route.Document
+	locateAnswers map[flow.Endpoint]flow.Answer // by the address of the agent
+	changed       chan struct{}
 }
 
 // New opens the address from which questions are sent.
@@ -125,7 +125,7 @@
 
 	i := &Inspector{
 		conn: conn, replies: make(map[flow.Endpoint]wire.PollReply), documents: make(map[uint64]*route.Document),
-		located: make(map[flow.Endpoint]flow.Answer), changed: make(chan struct{}, 1),
+		locateAnswers: make(map[flow.Endpoint]flow.Answer), changed: make(chan struct{}, 1),
 	}
 
 	go conn.Serve(i.handle)
@@ -136,7 +136,7 @@
 // Close closes the address.
 func (i *Inspector) Close() error { return i.conn.Close() }
 
-// handle notes an answer. What is no answer is left alone.
+// handle stores an answer and ignores all other messages.
 func (i *Inspector) handle(from netip.AddrPort, message []byte) {
 	kind, body, ok := wire.Split(message)
 	sender, isIPv4 := flow.NewEndpoint(from)
@@ -159,19 +159,19 @@
 		}
 	case wire.KindLocated:
 		if located, err := wire.ParseLocated(body); err == nil && len(located.Answers) == 1 {
-			i.located[sender] = located.Answers[0]
+			i.locateAnswers[sender] = located.Answers[0]
 		}
 	}
 
 	select {
 	case i.changed <- struct{}{}:
-	default: // the reader looks at everything
+	default: // a wake-up is already pending
 	}
 }
 
-// await sends questions again and again until done reports true or ctx ends.
-func (i *Inspector) await(ctx context.Context, ask func(), done func() bool) {
-	ticker := time.NewTicker(repeatAfter)
+// pollUntil sends questions repeatedly until done returns true or ctx ends.
+func (i *Inspector) pollUntil(ctx context.Context, ask func(), done func() bool) {
+	ticker := time.NewTicker(resendInterval)
 	defer ticker.Stop()
 
 	ask()
@@ -195,17 +195,17 @@
 	}
 }
 
-// send sends a question. One that does not leave is like one that is lost.
+// send sends a question. A failed send is treated like a lost message.
 func (i *Inspector) send(to flow.Endpoint, kind wire.Kind, body any) {
 	if message, err := wire.Encode(kind, body); err == nil {
 		_ = i.conn.Send(to.AddrPort(), message)
 	}
 }
 
-// Fleet returns what controllers say until ctx ends, and the list of agents of
-// the one that is most current.
+// Fleet returns what controllers report until ctx ends, and the list of agents of
+// the most current one.
 func (i *Inspector) Fleet(ctx context.Context, controllers []flow.Endpoint) *Fleet {
-	i.await(ctx, func() {
+	i.pollUntil(ctx, func() {
 		for _, controller := range controllers {
 			i.send(controller, wire.KindPoll, wire.Poll{Follows: true})
 		}
@@ -224,8 +224,8 @@
 		})
 	}
 
-	for _, record := range i.newest().Agents {
-		fleet.Agents = append(fleet.Agents, agentOf(record))
+	for _, record := range i.newestReply().Agents {
+		fleet.Agents = append(fleet.Agents, newAgent(record))
 	}
 
 	slices.SortFunc(fleet.Agents, func(a, b Agent) int {
@@ -235,9 +235,9 @@
 	return fleet
 }
 
-// newest returns the reply of the most current controller. The caller holds the
-// mutex.
-func (i *Inspector) newest() wire.PollReply {
+// newestReply returns the reply of the most current controller. The caller holds
+// the mutex.
+func (i *Inspector) newestReply() wire.PollReply {
 	var best wire.PollReply
 
 	for _, reply := range i.replies {
@@ -249,7 +249,7 @@
 	return best
 }
 
-func agentOf(record roster.Record) Agent {
+func newAgent(record roster.Record) Agent {
 	return Agent{
 		Address: record.Address.String(), Service: record.Service, Zone: record.Zone, State: record.State.String(),
 		Failing: record.Failing, Cold: record.Cold, Slots: record.Slots, Flows: record.Flows, Waiting: record.Waiting,
@@ -268,13 +268,13 @@
 		return nil, newError("flow", KindNoAnswer, errors.New("no controller answers"))
 	}
 
-	newest := i.newest()
+	newest := i.newestReply()
 	i.mutex.Unlock()
 
 	port := controllers[0].Port // the same on all instances
 	question := wire.Locate{ID: 1, Keys: []flow.Key{key}}.Append(nil)
 
-	i.await(ctx, func() {
+	i.pollUntil(ctx, func() {
 		for _, controller := range controllers {
 			i.send(controller, wire.KindFetch, wire.Fetch{})
 		}
@@ -283,7 +283,7 @@
 			agent := flow.Endpoint{IP: record.Address.IP, Port: port}
 			_ = i.conn.Send(agent.AddrPort(), question) // asked again if it is lost
 		}
-	}, func() bool { return i.documents[newest.Version] != nil && len(i.located) >= len(newest.Agents) })
+	}, func() bool { return i.documents[newest.Version] != nil && len(i.locateAnswers) >= len(newest.Agents) })
 
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -291,7 +291,7 @@
 	return i.describe(key, newest, port), nil
 }
 
-// describe puts the answers together. The caller holds the mutex.
+// describe combines the answers. The caller holds the mutex.
 func (i *Inspector) describe(key flow.Key, newest wire.PollReply, port uint16) *Flow {
 	found := &Flow{Flow: key.String(), Version: newest.Version}
 
@@ -310,8 +310,8 @@
 	}
 
 	for _, record := range newest.Agents {
-		answer := i.located[flow.Endpoint{IP: record.Address.IP, Port: port}]
-		found.Agents = append(found.Agents, Holding{Agent: agentOf(record), Answer: answerText(answer)})
+		answer := i.locateAnswers[flow.Endpoint{IP: record.Address.IP, Port: port}]
+		found.Agents = append(found.Agents, Holding{Agent: newAgent(record), Answer: answerText(answer)})
 	}
 
 	return found
--- a/internal/program/inspect/inspect_test.go
+++ b/internal/program/inspect/inspect_test.go
@@ -18,8 +18,8 @@
 	"jayspindle/internal/state/route"
 )
 
-// patience bounds the waits for a state.
-const patience = 20 * time.Second
+// waitTimeout limits the wait for a condition.
+const waitTimeout = 20 * time.Second
 
 const (
 	innerPort = 22_100
@@ -41,14 +41,14 @@
 	return found
 }
 
-// silentCodec reads no packets: none are sent.
-type silentCodec struct{}
+// noopCodec ignores packets: the tests send none.
+type noopCodec struct{}
 
-func (silentCodec) Decode([]byte) (flow.Header, error) { return flow.Header{}, nil }
+func (noopCodec) Decode([]byte) (flow.Header, error) { return flow.Header{}, nil }
 
-func (silentCodec) Restore([]byte) {}
+func (noopCodec) Restore([]byte) {}
 
-func (silentCodec) AppendReset(buffer []byte, _ flow.Key, _ uint32) []byte { return buffer }
+func (noopCodec) AppendReset(buffer []byte, _ flow.Key, _ uint32) []byte { return buffer }
 
 // program is a controller or an agent.
 type program interface {
@@ -99,7 +99,7 @@
 	})
 	is.NoErr(err)
 
-	for deadline := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(20 * time.Millisecond) {
 		if _, err = r.Submit(context.Background(), 4, encoded); err == nil {
 			break
 		}
@@ -113,7 +113,7 @@
 		Zone: "north", Service: "desk", Data: netip.AddrPortFrom(agent, dataPort),
 		Outbound: netip.AddrPortFrom(agent, 22_102), Backend: netip.AddrPortFrom(agent, 22_103),
 		Inner: netip.AddrPortFrom(agent, innerPort), ClientPort: dataPort, Seeds: seeds, ReportInterval: time.Minute,
-	}, silentCodec{}, logger)
+	}, noopCodec{}, logger)
 	is.NoErr(err)
 	run(t, s)
 
@@ -121,8 +121,8 @@
 	is.NoErr(err)
 }
 
-// ask asks with an inspector of its own, and with little patience.
-func ask[T any](t *testing.T, question func(ctx context.Context, i *inspect.Inspector) T) T {
+// withInspector runs a query with an inspector of its own and a short timeout.
+func withInspector[T any](t *testing.T, query func(ctx context.Context, i *inspect.Inspector) T) T {
 	t.Helper()
 
 	i, err := inspect.New(netip.MustParseAddrPort("127.0.38.9:0"), slog.New(slog.DiscardHandler))
@@ -133,20 +133,22 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 
-	return question(ctx, i)
+	return query(ctx, i)
 }
 
-// TestFleet guards against an operator who cannot see what controllers and agents
-// believe, and a dead controller that looks alive.
+// TestFleet guards against a report that lacks the state of controllers or
+// agents, or that shows a dead controller as alive.
 func TestFleet(t *testing.T) {
 	deploy(t)
 
 	absent := endpoint("127.0.38.3")
 	fleet := func(controllers ...flow.Endpoint) *inspect.Fleet {
-		return ask(t, func(ctx context.Context, i *inspect.Inspector) *inspect.Fleet { return i.Fleet(ctx, controllers) })
+		return withInspector(t, func(ctx context.Context, i *inspect.Inspector) *inspect.Fleet {
+			return i.Fleet(ctx, controllers)
+		})
 	}
 
-	for deadline := time.Now().Add(patience); ; {
+	for deadline := time.Now().Add(waitTimeout); ; {
 		found := fleet(controller)
 		if len(found.Agents) == 1 && found.Agents[0].State == "ready" && found.Controllers[0].Settled {
 			is.New(t).Equal(found.Controllers[0].Version, uint64(4))
@@ -166,7 +168,7 @@
 
 	t.Run("flow", func(t *testing.T) {
 		is := is.New(t)
-		found := ask(t, func(ctx context.Context, i *inspect.Inspector) *inspect.Flow {
+		found := withInspector(t, func(ctx context.Context, i *inspect.Inspector) *inspect.Flow {
 			answer, err := i.Flow(ctx, []flow.Endpoint{controller}, key)
 			is.NoErr(err)
 
@@ -180,8 +182,8 @@
 		is.True(!found.Held())
 	})
 
-	t.Run("nobody answers", func(t *testing.T) {
-		ask(t, func(ctx context.Context, i *inspect.Inspector) bool {
+	t.Run("no controller answers", func(t *testing.T) {
+		withInspector(t, func(ctx context.Context, i *inspect.Inspector) bool {
 			_, err := i.Flow(ctx, []flow.Endpoint{absent}, key)
 			is.New(t).True(err != nil)
 
