--- a/internal/program/load/caller.go
+++ b/internal/program/load/caller.go
@@ -23,41 +23,41 @@
 )
 
 const (
-	keepAlive   = 2 * time.Second
-	idleTimeout = 10 * time.Second
-	// retryPause is the shortest pause before a caller sends a request again.
-	retryPause = 50 * time.Millisecond
+	keepAliveInterval = 2 * time.Second
+	idleTimeout       = 10 * time.Second
+	// minRetryDelay is the shortest delay before a caller sends a request again.
+	minRetryDelay = 50 * time.Millisecond
 )
 
-// caller is one simulated caller with its own socket. Its requests and its
-// feed share a connection, as a driver's link does.
+// caller is one simulated caller with its own socket. Its requests and its feed
+// share a connection, as those of a driver do.
 type caller struct {
-	client    *Client
-	name      string // in logs
-	workload  Workload
-	service   *net.UDPAddr
-	transport *http3.Transport
-	mutex     sync.Mutex // guards random
-	random    *rand.Rand
-	flows     conc.WaitGroup
-	closing   chan struct{} // closed once no request is in progress
-	stopping  context.Context
+	client     *Client
+	name       string // in logs
+	workload   Workload
+	service    *net.UDPAddr
+	transport  *http3.Transport
+	mutex      sync.Mutex // guards random
+	random     *rand.Rand
+	flows      conc.WaitGroup
+	closeFlows chan struct{} // closed once no request is in progress
+	runCtx     context.Context
 }
 
 func newCaller(client *Client, name string, workload Workload, random *rand.Rand) *caller {
 	c := &caller{
-		client:   client,
-		name:     name,
-		workload: workload,
-		service:  &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: int(workload.Port)},
-		random:   random,
-		closing:  make(chan struct{}),
+		client:     client,
+		name:       name,
+		workload:   workload,
+		service:    &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: int(workload.Port)},
+		random:     random,
+		closeFlows: make(chan struct{}),
 	}
 
 	c.transport = &http3.Transport{
 		TLSClientConfig: &tls.Config{RootCAs: client.roots, ServerName: workload.Service, MinVersion: tls.VersionTLS13},
 		QUICConfig: &quic.Config{
-			KeepAlivePeriod:         keepAlive,
+			KeepAlivePeriod:         keepAliveInterval,
 			MaxIdleTimeout:          idleTimeout,
 			DisablePathMTUDiscovery: true,
 		},
@@ -67,14 +67,14 @@
 	return c
 }
 
-func (c *caller) draw() float64 {
+func (c *caller) randomFloat() float64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
 	return c.random.Float64()
 }
 
-func (c *caller) drawSeed() uint64 {
+func (c *caller) randomSeed() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
@@ -83,7 +83,7 @@
 
 // dial opens a flow and watches how it ends.
 func (c *caller) dial(ctx context.Context, _ string, config *tls.Config, quicConfig *quic.Config) (*quic.Conn, error) {
-	spray, err := newSprayConn(c.client.fabric, c.service, c.workload.Port, c.drawSeed())
+	spray, err := newSprayConn(c.client.fabric, c.service, c.workload.Port, c.randomSeed())
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -104,14 +104,14 @@
 }
 
 // watch counts a flow as broken unless it was closed on purpose. At the end it
-// closes the flow: the HTTP/3 transport forgets a flow that the agent shuts
-// down, and such a flow can stay open.
+// closes the flow: the HTTP/3 transport forgets a flow that the agent has shut
+// down, and such a flow could stay open.
 func (c *caller) watch(connection *quic.Conn, transport *quic.Transport, spray *sprayConn) {
 	select {
 	case <-connection.Context().Done():
-	case <-c.closing:
+	case <-c.closeFlows:
 		// The transport forgets, but does not close, a connection on which a
-		// request timed out. Keep-alive would keep it open without end.
+		// request timed out. Keep-alives would keep it open forever.
 		if err := connection.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), ""); err != nil {
 			c.client.logger.Debug("flow not closed", "error", err)
 		}
@@ -125,7 +125,7 @@
 	intended := errors.As(cause, &closed) &&
 		(closed.ErrorCode == quic.ApplicationErrorCode(http3.ErrCodeNoError) || !closed.Remote)
 
-	if !intended && c.stopping.Err() == nil {
+	if !intended && c.runCtx.Err() == nil {
 		c.client.result.add(&c.client.result.BrokenFlows)
 		c.client.logger.Warn("flow broken", "caller", c.name, "cause", cause)
 	}
@@ -146,7 +146,7 @@
 // run sends the requests of the workload until the context ends. Requests in
 // progress then end on their own.
 func (c *caller) run(ctx context.Context) error {
-	c.stopping = ctx
+	c.runCtx = ctx
 
 	var group conc.WaitGroup
 
@@ -155,23 +155,23 @@
 	}
 
 	for _, request := range c.workload.Requests {
-		group.Go(func() { c.repeat(ctx, request) })
+		group.Go(func() { c.sendPeriodically(ctx, request) })
 	}
 
 	group.Wait()
 
 	err := c.transport.Close()
 
-	close(c.closing)
+	close(c.closeFlows)
 	c.flows.Wait()
 
 	return errors.Trace(err)
 }
 
-// repeat sends requests with exponentially distributed pauses.
-func (c *caller) repeat(ctx context.Context, request Request) {
+// sendPeriodically sends requests with exponentially distributed pauses.
+func (c *caller) sendPeriodically(ctx context.Context, request Request) {
 	for number := 0; ; number++ {
-		pause := time.Duration(c.exponential() * float64(request.Interval))
+		pause := time.Duration(c.randomExponential() * float64(request.Interval))
 		if !sleep(ctx, pause) {
 			return
 		}
@@ -180,7 +180,7 @@
 	}
 }
 
-func (c *caller) exponential() float64 {
+func (c *caller) randomExponential() float64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
@@ -202,7 +202,7 @@
 // send sends one request with up to the configured number of attempts, all
 // with the same idempotency key.
 func (c *caller) send(request Request, number int) {
-	echo := fmt.Sprintf("%016x-%d", c.drawSeed(), number)
+	echo := fmt.Sprintf("%016x-%d", c.randomSeed(), number)
 
 	key := ""
 	if !request.Idempotent {
@@ -222,11 +222,11 @@
 		if tries > 0 {
 			resent++
 
-			time.Sleep(retryPause + time.Duration(c.draw()*float64(retryPause)))
+			time.Sleep(minRetryDelay + time.Duration(c.randomFloat()*float64(minRetryDelay)))
 		}
 
 		attempt = c.attempt(ctx, request, key, echo)
-		if !attempt.again {
+		if !attempt.retry {
 			break
 		}
 	}
@@ -235,10 +235,10 @@
 	c.client.result.record(c.workload.Service, request, key, attempt, resent, time.Since(started))
 }
 
-// attemptResult is what one attempt of a request came to.
+// attemptResult is the result of one attempt of a request.
 type attemptResult struct {
 	outcome       outcome
-	again         bool // sending the request again may help
+	retry         bool // sending the request again may help
 	reason        string
 	backendServer string
 	mismatched    bool
@@ -267,33 +267,34 @@
 	if err != nil {
 		// Whether the request ran is not known to the caller, so only the same
 		// idempotency key makes another attempt safe.
-		return attemptResult{outcome: failed, again: true, reason: "no response"}
+		return attemptResult{outcome: failed, retry: true, reason: "no response"}
 	}
 	defer response.Body.Close()
 
 	size, err := io.Copy(io.Discard, response.Body)
 	if err != nil {
-		return attemptResult{outcome: failed, again: true, reason: "response broken off"}
+		return attemptResult{outcome: failed, retry: true, reason: "response broken off"}
 	}
 
 	return classify(response, echo, size)
 }
 
-// classify tells what an answer means. An answer that was cut without an error
-// counts as mismatched, like one to another request.
+// classify derives the result of an attempt from its response. A response that
+// was truncated without an error counts as mismatched, like one to another
+// request.
 func classify(response *http.Response, echo string, size int64) attemptResult {
 	reason := response.Header.Get("Jayspindle-Reason")
 
 	switch outcome := response.Header.Get("Jayspindle-Outcome"); {
 	case outcome == "not-run":
-		return attemptResult{outcome: notRun, again: true, reason: reason}
+		return attemptResult{outcome: notRun, retry: true, reason: reason}
 	case outcome == "unknown":
 		return attemptResult{outcome: unknown, reason: reason}
 	case outcome == "replayed" && response.StatusCode == http.StatusGone:
 		// The request has run; its answer was too large to keep.
 		return attemptResult{outcome: answered, backendServer: response.Header.Get("Backend-Server")}
 	case response.StatusCode == http.StatusConflict:
-		return attemptResult{outcome: unknown, again: true, reason: reason}
+		return attemptResult{outcome: unknown, retry: true, reason: reason}
 	case response.StatusCode != http.StatusOK:
 		return attemptResult{outcome: failed, reason: response.Status}
 	}
--- a/internal/program/load/fabric.go
+++ b/internal/program/load/fabric.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	healthInterval = 200 * time.Millisecond
-	healthTimeout  = time.Second
+	healthCheckInterval = 200 * time.Millisecond
+	healthCheckTimeout  = time.Second
 )
 
-// fabric plays the network between callers and balancers: it hands each
+// fabric simulates the network between callers and balancers: it sends each
 // datagram to a balancer picked at random among those that report ready.
 type fabric struct {
 	balancers []FabricBalancer
@@ -30,7 +30,7 @@
 }
 
 func newFabric(balancers []FabricBalancer, logger *slog.Logger) *fabric {
-	f := &fabric{balancers: balancers, logger: logger, client: &http.Client{Timeout: healthTimeout}}
+	f := &fabric{balancers: balancers, logger: logger, client: &http.Client{Timeout: healthCheckTimeout}}
 
 	all := make([]netip.Addr, 0, len(balancers))
 	for _, balancer := range balancers {
@@ -44,7 +44,7 @@
 
 // poll updates the set of ready balancers until the context ends.
 func (f *fabric) poll(ctx context.Context) {
-	ticker := time.NewTicker(healthInterval)
+	ticker := time.NewTicker(healthCheckInterval)
 	defer ticker.Stop()
 
 	for {
@@ -64,7 +64,7 @@
 	var group conc.WaitGroup
 
 	for i, balancer := range f.balancers {
-		group.Go(func() { healthy[i] = f.check(ctx, balancer) })
+		group.Go(func() { healthy[i] = f.isReady(ctx, balancer) })
 	}
 
 	group.Wait()
@@ -77,8 +77,8 @@
 		}
 	}
 
-	// Without any ready balancer the last set stays: a fabric has no better
-	// place to send to.
+	// If no balancer is ready, the last set stays in use: there is no better
+	// destination.
 	if len(ready) == 0 {
 		return
 	}
@@ -90,7 +90,7 @@
 	f.ready.Store(&ready)
 }
 
-func (f *fabric) check(ctx context.Context, balancer FabricBalancer) bool {
+func (f *fabric) isReady(ctx context.Context, balancer FabricBalancer) bool {
 	if !balancer.Health.IsValid() {
 		return true
 	}
--- a/internal/program/load/feed.go
+++ b/internal/program/load/feed.go
@@ -19,9 +19,9 @@
 // agent announces that it drains, the next feed is opened before this one is
 // closed.
 type feed struct {
-	caller *caller
-	last   int64       // newest event ID, 0 before the first
-	stall  *time.Timer // counts a stalled feed, nil if that is not checked
+	caller      *caller
+	lastEventID int64       // newest event ID, 0 before the first
+	stallTimer  *time.Timer // counts a stalled feed, nil if that is not checked
 }
 
 func newFeed(c *caller) *feed {
@@ -31,9 +31,9 @@
 func (f *feed) run(ctx context.Context) {
 	if silence := f.caller.workload.FeedSilence; silence > 0 {
 		result := f.caller.client.result
-		f.stall = time.AfterFunc(silence, func() { result.add(&result.FeedStalls) })
+		f.stallTimer = time.AfterFunc(silence, func() { result.add(&result.FeedStalls) })
 
-		defer f.stall.Stop()
+		defer f.stallTimer.Stop()
 	}
 
 	var current io.ReadCloser
@@ -44,7 +44,7 @@
 		}
 
 		if current == nil {
-			sleep(ctx, retryPause)
+			sleep(ctx, minRetryDelay)
 
 			continue
 		}
@@ -69,8 +69,8 @@
 
 	request.Header.Set("Accept", "text/event-stream")
 
-	if f.last != 0 {
-		request.Header.Set("Last-Event-ID", strconv.FormatInt(f.last, 10))
+	if f.lastEventID != 0 {
+		request.Header.Set("Last-Event-ID", strconv.FormatInt(f.lastEventID, 10))
 	}
 
 	response, err := c.transport.RoundTrip(request)
@@ -105,11 +105,11 @@
 		case strings.HasPrefix(text, "id: "):
 			id = text[len("id: "):]
 		case text == "" && id != "":
-			f.event(id)
+			f.recordEvent(id)
 
 			id = ""
 		case text == drainingComment:
-			if next := f.move(ctx); next != nil {
+			if next := f.openNext(ctx); next != nil {
 				return next
 			}
 		}
@@ -118,12 +118,12 @@
 	return nil
 }
 
-// move opens the next feed on a new flow. The agent refuses new requests on
+// openNext opens the next feed on a new flow. The agent refuses new requests on
 // the old one, which makes the transport dial again.
-func (f *feed) move(ctx context.Context) io.ReadCloser {
-	const patience = 5 * time.Second
+func (f *feed) openNext(ctx context.Context) io.ReadCloser {
+	const timeout = 5 * time.Second
 
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, retryPause) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && ctx.Err() == nil; sleep(ctx, minRetryDelay) {
 		if next := f.open(ctx); next != nil {
 			f.caller.client.result.add(&f.caller.client.result.FeedMoves)
 
@@ -134,27 +134,27 @@
 	return nil
 }
 
-// event counts an event and checks that it follows the one before.
-func (f *feed) event(text string) {
+// recordEvent counts an event and checks that it follows the previous one.
+func (f *feed) recordEvent(text string) {
 	id, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return
 	}
 
-	if f.stall != nil {
-		f.stall.Reset(f.caller.workload.FeedSilence)
+	if f.stallTimer != nil {
+		f.stallTimer.Reset(f.caller.workload.FeedSilence)
 	}
 
 	result := f.caller.client.result
 	result.add(&result.FeedEvents)
 
 	switch {
-	case f.last == 0 || id == f.last+1:
-	case id <= f.last:
+	case f.lastEventID == 0 || id == f.lastEventID+1:
+	case id <= f.lastEventID:
 		result.add(&result.FeedDuplicates)
 	default:
 		result.add(&result.FeedGaps)
 	}
 
-	f.last = max(f.last, id)
+	f.lastEventID = max(f.lastEventID, id)
 }
--- a/internal/program/load/load_test.go
+++ b/internal/program/load/load_test.go
@@ -20,8 +20,8 @@
 	"jayspindle/internal/state/settings"
 )
 
-// Guards against a load client that takes one outcome for another: an answer
-// for a refusal, a cut answer for a whole one, a replay for a failure.
+// Guards against a load client that mistakes one outcome for another: an answer
+// for a refusal, a truncated answer for a whole one, a replay for a failure.
 func TestClassify(t *testing.T) {
 	refused := http.Header{"Jayspindle-Outcome": {"not-run"}}
 	right := http.Header{"Request-Echo": {"e"}, "Body-Size": {"3"}, "Backend-Server": {"b"}}
@@ -34,9 +34,9 @@
 		"answered":          {200, right, attemptResult{outcome: answered, backendServer: "b"}},
 		"another request":   {200, http.Header{"Request-Echo": {"f"}, "Body-Size": {"3"}}, attemptResult{mismatched: true}},
 		"cut":               {200, http.Header{"Request-Echo": {"e"}, "Body-Size": {"4"}}, attemptResult{mismatched: true}},
-		"not run":           {503, refused, attemptResult{outcome: notRun, again: true}},
+		"not run":           {503, refused, attemptResult{outcome: notRun, retry: true}},
 		"unknown":           {504, http.Header{"Jayspindle-Outcome": {"unknown"}}, attemptResult{outcome: unknown}},
-		"in progress":       {409, nil, attemptResult{outcome: unknown, again: true}},
+		"in progress":       {409, nil, attemptResult{outcome: unknown, retry: true}},
 		"replayed, no body": {410, http.Header{"Jayspindle-Outcome": {"replayed"}}, attemptResult{outcome: answered}},
 		"error":             {500, right, attemptResult{outcome: failed}},
 		"unmarked refusal":  {503, nil, attemptResult{outcome: failed}},
@@ -104,7 +104,7 @@
 	}), result
 }
 
-// Guards against gaps and repeated events that are not seen, and against cut
+// Guards against gaps and repeated events that are not noticed, and against truncated
 // events that count as received: the resumed feed would then lack them.
 func TestFeedEvents(t *testing.T) {
 	cases := map[string]struct {
@@ -123,7 +123,7 @@
 			is := is.New(t)
 			f, result := newTestFeed(0)
 			f.read(t.Context(), io.NopCloser(strings.NewReader(test.text)))
-			is.Equal(f.last, test.last)
+			is.Equal(f.lastEventID, test.last)
 			is.Equal(result.FeedGaps, test.gaps)
 			is.Equal(result.FeedDuplicates, test.duplicates)
 		})
@@ -133,10 +133,10 @@
 	t.Run("stalled", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f, result := newTestFeed(time.Second)
-			f.stall = time.AfterFunc(time.Second, func() { result.add(&result.FeedStalls) })
-			f.event("1")
+			f.stallTimer = time.AfterFunc(time.Second, func() { result.add(&result.FeedStalls) })
+			f.recordEvent("1")
 			time.Sleep(900 * time.Millisecond)
-			f.event("2")
+			f.recordEvent("2")
 			time.Sleep(5 * time.Second)
 			synctest.Wait()
 			is.New(t).Equal(result.FeedStalls, int64(1))
@@ -144,7 +144,7 @@
 	})
 }
 
-// Guards against a fabric that goes on sending to a balancer that is not ready.
+// Guards against a fabric that keeps sending to a balancer that is not ready.
 func TestFabric(t *testing.T) {
 	is := is.New(t)
 	status := http.StatusOK
--- a/internal/program/load/progress.go
+++ b/internal/program/load/progress.go
@@ -10,7 +10,7 @@
 // progressInterval is the time between two lines of progress.
 const progressInterval = 2 * time.Second
 
-// ShowProgress writes a line on the run from time to time until the context
+// ShowProgress writes a progress line at regular intervals until the context
 // ends.
 func (c *Client) ShowProgress(ctx context.Context, writer io.Writer) {
 	ticker := time.NewTicker(progressInterval)
--- a/internal/program/load/result.go
+++ b/internal/program/load/result.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	longestLatency     = int64(time.Minute / time.Microsecond)
-	significantFigures = 3
+	maxLatencyMicroseconds = int64(time.Minute / time.Microsecond)
+	significantFigures     = 3
 )
 
 // outcome is how a request ended for the caller.
@@ -51,14 +51,14 @@
 	latencies *hdrhistogram.Histogram
 }
 
-// ServerResult is what callers got from one backend server.
+// ServerResult counts the answers of one backend server.
 type ServerResult struct {
 	Answers int64     `json:"answers"`
 	First   time.Time `json:"first"` // time of the first answer
 	Last    time.Time `json:"last"`  // time of the last answer
 }
 
-// Result is what a run of the load client saw.
+// Result holds the measurements of one run of the load client.
 type Result struct {
 	Classes        []*ClassResult `json:"classes"`
 	Flows          int64          `json:"flows"`
@@ -68,7 +68,7 @@
 	FeedDuplicates int64          `json:"feed_duplicates"`
 	FeedMoves      int64          `json:"feed_moves"`
 	FeedStalls     int64          `json:"feed_stalls"` // no event for the feed_silence of the workload
-	Imbalance      float64        `json:"imbalance"`   // busiest over mean, present throughout
+	Imbalance      float64        `json:"imbalance"`   // busiest over mean, of those present throughout
 	// BackendServers counts answers by service and backend server.
 	BackendServers  map[string]map[string]*ServerResult `json:"backend_servers"`
 	RunTwice        int64                               `json:"run_twice"`
@@ -119,7 +119,7 @@
 func (r *Result) class(name string) *ClassResult {
 	class, ok := r.classes[name]
 	if !ok {
-		class = &ClassResult{Class: name, latencies: hdrhistogram.New(1, longestLatency, significantFigures)}
+		class = &ClassResult{Class: name, latencies: hdrhistogram.New(1, maxLatencyMicroseconds, significantFigures)}
 		r.classes[name] = class
 	}
 
@@ -128,7 +128,7 @@
 
 // record counts one request after its last attempt.
 func (r *Result) record(
-	service string, request Request, key string, attempt attemptResult, resent int, took time.Duration,
+	service string, request Request, key string, attempt attemptResult, resent int, latency time.Duration,
 ) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -147,7 +147,7 @@
 
 	switch attempt.outcome {
 	case answered:
-		r.recordAnswer(service, class, request, attempt, took)
+		r.recordAnswer(service, class, request, attempt, latency)
 	case notRun:
 		class.NotRun++
 	case unknown:
@@ -158,12 +158,12 @@
 }
 
 func (r *Result) recordAnswer(
-	service string, class *ClassResult, request Request, attempt attemptResult, took time.Duration,
+	service string, class *ClassResult, request Request, attempt attemptResult, latency time.Duration,
 ) {
 	class.Answered++
 	r.server(service, attempt.backendServer).count(time.Now())
 
-	if took > request.Deadline {
+	if latency > request.Deadline {
 		class.Late++
 	}
 
@@ -171,13 +171,13 @@
 		class.Mismatched++
 	}
 
-	// RecordValue fails only above the longest latency, which is then what counts.
-	if class.latencies.RecordValue(took.Microseconds()) != nil {
-		_ = class.latencies.RecordValue(longestLatency)
+	// RecordValue fails only above the maximum latency, which is then recorded instead.
+	if class.latencies.RecordValue(latency.Microseconds()) != nil {
+		_ = class.latencies.RecordValue(maxLatencyMicroseconds)
 	}
 }
 
-// add changes a counter of the result.
+// add increments a counter of the result.
 func (r *Result) add(counter *int64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -221,10 +221,10 @@
 	}
 }
 
-// imbalance returns the busiest backend server over the mean, for those that
-// answered in the first and in the last tenth of the time of the service: one
-// that drained or joined meanwhile has fewer answers on purpose. A backend
-// server without any answer is not known here.
+// imbalance returns the answers of the busiest backend server over the mean, for
+// those that answered in the first and in the last tenth of the time of the
+// service: one that drained or joined in between has fewer answers on purpose. A
+// backend server without any answer is not counted.
 func imbalance(servers map[string]*ServerResult) float64 {
 	var first, last time.Time
 
--- a/internal/program/load/settings.go
+++ b/internal/program/load/settings.go
@@ -26,7 +26,7 @@
 	Health netip.AddrPort `yaml:"health"` // its debug address; polled if set
 }
 
-// Workload is a number of callers of one service who all do the same.
+// Workload is a number of callers of one service that send the same requests.
 type Workload struct {
 	Name     string    `yaml:"name" validate:"required"`
 	Service  string    `yaml:"service" validate:"required"` // name in the certificate
