--- a/internal/protocol/connid/connid.go
+++ b/internal/protocol/connid/connid.go
@@ -1,10 +1,11 @@
-// Package connid is the connection IDs that agents choose. Such an ID names
-// its service and agent, so a balancer forwards a packet of an established
-// flow without a table, and no change of tables can move the flow.
+// Package connid generates and decodes the QUIC connection IDs that agents
+// choose. Such an ID encodes its service and agent, so a balancer forwards a
+// packet of an established flow without a lookup table, and a change of its
+// tables cannot move the flow to another agent.
 //
 // # Usage
 //
-// An agent gives a generator to quic-go:
+// An agent passes a generator to quic-go:
 //
 //	transport := &quic.Transport{Conn: conn, ConnectionIDGenerator: connid.NewGenerator(keys, service, incarnation)}
 //
@@ -13,10 +14,10 @@
 //	packet := connid.Parse(payload)
 //	incarnation, ok := keys.Open(&scratch, packet.DCID, service)
 //
-// An ID is one marker byte (format and key ID) and one AES-128 block that
-// holds the service, the incarnation, a nonce and 4 zero bytes as a check. A
-// forged block passes the check and names a given service with a probability
-// of 1 in 2^48.
+// An ID consists of a marker byte (format and key ID) and one AES-128 block
+// that holds the service, the incarnation, a nonce and 4 zero bytes as an
+// integrity check. A forged block passes the check and matches a given service
+// with a probability of 1 in 2^48.
 package connid
 
 import (
@@ -43,7 +44,7 @@
 	nonceMask         = 1<<48 - 1
 )
 
-// Scratch is the working memory of one goroutine for Open. A local array would
+// Scratch is the decryption buffer for Open, one for each goroutine. A local array would
 // be allocated on the heap for each call through the cipher's interface.
 type Scratch [aes.BlockSize]byte
 
@@ -83,8 +84,8 @@
 	(*block).Encrypt(plain, plain)
 }
 
-// Open returns the incarnation that a connection ID names. It reports false
-// unless the ID is authentic and names the given service.
+// Open decodes the incarnation of a connection ID. It reports false unless the
+// ID is authentic and belongs to the given service.
 func (k *Keys) Open(scratch *Scratch, dcid []byte, service view.ServiceID) (view.Incarnation, bool) {
 	if len(dcid) != Length {
 		return 0, false
@@ -98,16 +99,16 @@
 	(*block).Decrypt(scratch[:], dcid[1:])
 
 	check := binary.BigEndian.Uint32(scratch[offsetCheck:])
-	named := view.ServiceID(binary.BigEndian.Uint16(scratch[offsetService:]))
+	serviceID := view.ServiceID(binary.BigEndian.Uint16(scratch[offsetService:]))
 
-	if check != 0 || named != service {
+	if check != 0 || serviceID != service {
 		return 0, false
 	}
 
 	return view.Incarnation(binary.BigEndian.Uint32(scratch[offsetIncarnation:])), true
 }
 
-// Generator makes the connection IDs of one agent. It satisfies
+// Generator generates the connection IDs of one agent. It satisfies
 // quic.ConnectionIDGenerator and is safe for concurrent use.
 type Generator struct {
 	keys        atomic.Pointer[Keys]
@@ -118,8 +119,9 @@
 
 var _ quic.ConnectionIDGenerator = (*Generator)(nil)
 
-// NewGenerator returns a generator for an agent. Nonces count up from a random
-// start, so no ID repeats within an incarnation; encryption hides the count.
+// NewGenerator returns a generator for an agent. The nonce is a counter with a
+// random initial value, so no ID repeats within an incarnation; encryption hides
+// the counter.
 func NewGenerator(keys *Keys, service view.ServiceID, incarnation view.Incarnation) *Generator {
 	generator := &Generator{service: service, incarnation: incarnation}
 	generator.keys.Store(keys)
@@ -128,7 +130,7 @@
 	return generator
 }
 
-// SetKeys changes the keys of later connection IDs.
+// SetKeys sets the keys that seal all further connection IDs.
 func (g *Generator) SetKeys(keys *Keys) { g.keys.Store(keys) }
 
 // GenerateConnectionID returns the next connection ID. It never fails.
--- a/internal/protocol/connid/connid_test.go
+++ b/internal/protocol/connid/connid_test.go
@@ -14,15 +14,15 @@
 func keys(t testing.TB, ids ...uint8) *connid.Keys {
 	t.Helper()
 
-	ring := make([]view.Key, 0, len(ids))
+	fabricKeys := make([]view.Key, 0, len(ids))
 	for _, id := range ids {
-		ring = append(ring, view.Key{ID: id, Secret: [32]byte{id, 7}})
+		fabricKeys = append(fabricKeys, view.Key{ID: id, Secret: [32]byte{id, 7}})
 	}
 
-	made, err := connid.New(ring)
+	derived, err := connid.New(fabricKeys)
 	is.New(t).NoErr(err)
 
-	return made
+	return derived
 }
 
 func generate(t testing.TB, generator quic.ConnectionIDGenerator) []byte {
@@ -45,8 +45,8 @@
 	is.New(t).Equal(got, want)
 }
 
-// Guards against delivery by a connection ID of another service, a forged one,
-// or one whose key is gone.
+// Guards against accepting a connection ID that belongs to another service, is
+// forged, or is sealed with a key that is no longer in the view.
 func TestOpen(t *testing.T) {
 	id := generate(t, connid.NewGenerator(keys(t, 1), 40, 9000))
 
@@ -63,8 +63,8 @@
 	}
 }
 
-// Guards against a check that is too weak: without the zero bytes, one random
-// block in 65,536 would name a given service.
+// Guards against an integrity check that is too weak: without the zero bytes,
+// one random block in 65,536 would match a given service.
 func TestRandomBlocks(t *testing.T) {
 	var (
 		opener  = keys(t, 1)
@@ -94,14 +94,16 @@
 	is.New(t).Equal(len(seen), 1000)
 }
 
-// long returns a packet with a long header and a connection ID of n bytes.
-func long(first byte, version uint32, n int) []byte {
+// longHeaderPacket returns a packet with a long header and a connection ID of n
+// bytes.
+func longHeaderPacket(first byte, version uint32, n int) []byte {
 	packet := append([]byte{first, byte(version >> 24), byte(version >> 16), byte(version >> 8), byte(version)}, byte(n))
 
 	return append(packet, make([]byte, 1200)...)
 }
 
-// Guards against a wrong decision on which packets may open a flow.
+// Guards against packets that are misclassified, and against opening a flow for
+// a packet that may not open one.
 func TestParse(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -110,19 +112,19 @@
 		length int
 		first  bool
 	}{
-		{"initial", long(0xc0, 1, 8), connid.Initial, 8, true},
-		{"initial of version 2", long(0xd0, 0x6b3343cf, 20), connid.Initial, 20, true},
-		{"short connection ID", long(0xc0, 1, 7), connid.Initial, 7, false},
-		{"small initial", long(0xc0, 1, 8)[:1199], connid.Initial, 8, false},
-		{"0-RTT", long(0xd0, 1, 8), connid.ZeroRTT, 8, false},
-		{"handshake", long(0xe0, 1, 17), connid.Handshake, 17, false},
-		{"retry", long(0xf0, 1, 17), connid.Retry, 17, false},
-		{"version negotiation", long(0x80, 0, 17), connid.VersionNegotiation, 17, false},
-		{"unknown version", long(0x80, 0x0a0a0a0a, 100), connid.UnknownVersion, 100, true},
-		{"long connection ID", long(0xc0, 1, 21), connid.Invalid, 0, false},
-		{"cut short", long(0xc0, 1, 20)[:26], connid.Invalid, 0, false},
+		{"initial", longHeaderPacket(0xc0, 1, 8), connid.Initial, 8, true},
+		{"initial of version 2", longHeaderPacket(0xd0, 0x6b3343cf, 20), connid.Initial, 20, true},
+		{"short connection ID", longHeaderPacket(0xc0, 1, 7), connid.Initial, 7, false},
+		{"small initial", longHeaderPacket(0xc0, 1, 8)[:1199], connid.Initial, 8, false},
+		{"0-RTT", longHeaderPacket(0xd0, 1, 8), connid.ZeroRTT, 8, false},
+		{"handshake", longHeaderPacket(0xe0, 1, 17), connid.Handshake, 17, false},
+		{"retry", longHeaderPacket(0xf0, 1, 17), connid.Retry, 17, false},
+		{"version negotiation", longHeaderPacket(0x80, 0, 17), connid.VersionNegotiation, 17, false},
+		{"unknown version", longHeaderPacket(0x80, 0x0a0a0a0a, 100), connid.UnknownVersion, 100, true},
+		{"long connection ID", longHeaderPacket(0xc0, 1, 21), connid.Invalid, 0, false},
+		{"truncated", longHeaderPacket(0xc0, 1, 20)[:26], connid.Invalid, 0, false},
 		{"short header", append([]byte{0x40}, make([]byte, 17)...), connid.ShortHeader, 17, false},
-		{"short header, cut", append([]byte{0x40}, make([]byte, 16)...), connid.Invalid, 0, false},
+		{"truncated short header", append([]byte{0x40}, make([]byte, 16)...), connid.Invalid, 0, false},
 		{"no fixed bit", make([]byte, 100), connid.Invalid, 0, false},
 		{"empty", nil, connid.Invalid, 0, false},
 	}
@@ -137,11 +139,11 @@
 	}
 }
 
-// Guards against a panic on any input, and against reading outside of it.
+// Guards against a panic or an out-of-bounds read on arbitrary input.
 func FuzzParse(f *testing.F) {
 	opener := keys(f, 1)
 
-	f.Add(long(0xc0, 1, 20))
+	f.Add(longHeaderPacket(0xc0, 1, 20))
 	f.Add([]byte{0x40})
 	f.Fuzz(func(t *testing.T, input []byte) {
 		var scratch connid.Scratch
--- a/internal/protocol/connid/packet.go
+++ b/internal/protocol/connid/packet.go
@@ -7,14 +7,14 @@
 
 // The kinds of packets.
 const (
-	Invalid            PacketKind = iota // not QUIC, or cut short
+	Invalid            PacketKind = iota // not QUIC, or truncated
 	ShortHeader                          // 1-RTT
-	Initial                              // of a client, QUIC version 1 or 2
-	ZeroRTT                              // early data of a client
-	Handshake                            // of either end
+	Initial                              // sent by clients, QUIC version 1 or 2
+	ZeroRTT                              // early data, sent by clients
+	Handshake                            // sent by either endpoint
 	Retry                                // sent by servers only
 	VersionNegotiation                   // sent by servers only
-	UnknownVersion                       // long header of a version that only an agent can negotiate
+	UnknownVersion                       // long header of another version, which only an agent can negotiate
 )
 
 const (
@@ -31,25 +31,26 @@
 	offsetDCID       = 6
 	maxDCIDLength    = 20 // RFC 9000; longer ones exist only in unknown versions (RFC 8999)
 
-	// MinInitialDCID is the least length of the destination connection ID
+	// MinInitialDCID is the minimum length of the destination connection ID
 	// that a client may choose (RFC 9000, section 7.2), in bytes.
 	MinInitialDCID = 8
 
-	// MinInitialDatagram is the least payload of a datagram with a client's
+	// MinInitialDatagram is the minimum payload of a datagram with a client's
 	// Initial packet (RFC 9000, section 14.1), in bytes.
 	MinInitialDatagram = 1200
 )
 
-// The packet types by the two type bits. Version 2 rotates them.
+// The packet types, indexed by the two type bits. Version 2 rotates the values.
 var (
 	typesOfVersion1 = [4]PacketKind{Initial, ZeroRTT, Handshake, Retry}
 	typesOfVersion2 = [4]PacketKind{Retry, Initial, ZeroRTT, Handshake}
 )
 
-// Packet is what a balancer can read of the first packet of a datagram.
+// Packet holds the header fields of a datagram's first QUIC packet that are
+// readable without its keys.
 type Packet struct {
 	Kind PacketKind
-	DCID []byte // a part of the datagram
+	DCID []byte // destination connection ID, a subslice of the datagram
 }
 
 // Parse reads the invariant part of the header (RFC 8999) and the packet type
@@ -75,23 +76,23 @@
 		return Packet{}
 	}
 
-	end := offsetDCID + int(datagram[offsetDCIDLength])
-	if len(datagram) <= end {
-		// The length of the source connection ID has to follow.
+	dcidEnd := offsetDCID + int(datagram[offsetDCIDLength])
+	if len(datagram) <= dcidEnd {
+		// Too short for the source connection ID length, which has to follow.
 		return Packet{}
 	}
 
-	packet := Packet{DCID: datagram[offsetDCID:end]}
-	known := datagram[0]&fixedBit != 0 && len(packet.DCID) <= maxDCIDLength
-	bits := datagram[0] & typeMask >> typeShift
+	packet := Packet{DCID: datagram[offsetDCID:dcidEnd]}
+	valid := datagram[0]&fixedBit != 0 && len(packet.DCID) <= maxDCIDLength
+	typeBits := datagram[0] & typeMask >> typeShift
 
 	switch version := binary.BigEndian.Uint32(datagram[offsetVersion:]); {
 	case version == 0:
 		packet.Kind = VersionNegotiation
-	case version == version1 && known:
-		packet.Kind = typesOfVersion1[bits]
-	case version == version2 && known:
-		packet.Kind = typesOfVersion2[bits]
+	case version == version1 && valid:
+		packet.Kind = typesOfVersion1[typeBits]
+	case version == version2 && valid:
+		packet.Kind = typesOfVersion2[typeBits]
 	case version == version1 || version == version2:
 		return Packet{}
 	default:
@@ -101,9 +102,9 @@
 	return packet
 }
 
-// First reports whether the datagram of the given length may open a flow: it
-// has a client's Initial packet, or a packet of a version that an agent has to
-// negotiate, and the size that QUIC demands of both.
+// First reports whether a datagram of the given length may open a flow: it
+// starts with a client's Initial packet, or with a packet of a version that an
+// agent has to negotiate, and has the minimum size that QUIC requires for both.
 func (p Packet) First(length int) bool {
 	if length < MinInitialDatagram {
 		return false
--- a/internal/protocol/connid/quic_test.go
+++ b/internal/protocol/connid/quic_test.go
@@ -19,16 +19,16 @@
 	"jayspindle/internal/protocol/connid"
 )
 
-// tap passes each datagram that a server receives to see.
-type tap struct {
+// observedConn passes each datagram that it receives to observe.
+type observedConn struct {
 	net.PacketConn
-	see func([]byte)
+	observe func([]byte)
 }
 
-func (t tap) ReadFrom(buffer []byte) (int, net.Addr, error) {
-	n, source, err := t.PacketConn.ReadFrom(buffer)
+func (c observedConn) ReadFrom(buffer []byte) (int, net.Addr, error) {
+	n, source, err := c.PacketConn.ReadFrom(buffer)
 	if err == nil {
-		t.see(buffer[:n])
+		c.observe(buffer[:n])
 	}
 
 	return n, source, err
@@ -48,13 +48,13 @@
 }
 
 // Guards against packets of real sessions that no balancer could forward: each
-// has to be a first packet or carry a connection ID of the agent.
+// has to be one that may open a flow, or carry a connection ID of the agent.
 func TestSession(t *testing.T) {
 	var (
-		opener        = keys(t, 1)
-		scratch       connid.Scratch
-		first, direct int
-		group         conc.WaitGroup
+		opener                      = keys(t, 1)
+		scratch                     connid.Scratch
+		firstPackets, routedPackets int
+		group                       conc.WaitGroup
 	)
 
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -62,15 +62,15 @@
 
 	transport := &quic.Transport{
 		ConnectionIDGenerator: connid.NewGenerator(opener, 40, 9000),
-		Conn: tap{conn, func(datagram []byte) {
+		Conn: observedConn{conn, func(datagram []byte) {
 			packet := connid.Parse(datagram)
 			incarnation, ok := opener.Open(&scratch, packet.DCID, 40)
 
 			switch {
 			case ok && incarnation == 9000:
-				direct++
+				routedPackets++
 			case packet.First(len(datagram)):
-				first++
+				firstPackets++
 			default:
 				t.Errorf("packet of kind %d with connection ID %x cannot be forwarded", packet.Kind, packet.DCID)
 			}
@@ -113,5 +113,5 @@
 	is.New(t).NoErr(session.CloseWithError(0, ""))
 	is.New(t).NoErr(transport.Close())
 	is.New(t).NoErr(conn.Close())
-	is.New(t).True(first > 0 && direct > 100)
+	is.New(t).True(firstPackets > 0 && routedPackets > 100)
 }
