--- a/internal/protocol/control/control.go
+++ b/internal/protocol/control/control.go
@@ -1,16 +1,16 @@
-// Package control defines the messages of the control links, one Go type
-// each, and their bounds.
+// Package control defines the messages of the control links and their size
+// limits. Each message has its own Go type.
 //
 // # Usage
 //
-// A message is a plain struct that CBOR encodes with integer keys. The link
-// decodes it and calls Check; other users call Decode, which does both:
+// A message is a plain struct that is encoded as CBOR with integer keys. The
+// link decodes it and calls Check; other users call Decode, which does both:
 //
 //	announce, err := control.Decode[control.Announce](encoded)
 //
-// The constants Method... name the calls. Watch is a server stream of Update
-// messages, all others are unary. Fields that a receiver does not know are
-// ignored, so that instances of two releases can talk to each other.
+// The Method constants are the names of the calls. Watch returns a server stream
+// of Update messages, all other calls are unary. A receiver ignores fields that
+// it does not know, so instances of different releases are compatible.
 package control
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/juju/errors"
 )
 
-// The methods of the control links: request and reply.
+// The methods of the control links, each with its request and reply messages.
 const (
 	MethodAnnounce     = "announce"      // Announce, AnnounceReply
 	MethodRenew        = "renew"         // Renew, RenewReply
@@ -38,7 +38,7 @@
 	MethodReplicate    = "replicate"     // Replicate, between controllers
 )
 
-// The bounds of the messages.
+// The limits of the messages.
 const (
 	MaxName      = 63      // bytes of a name of an environment, zone, service, instance or owner
 	MaxDocument  = 1 << 20 // bytes of a document
@@ -46,14 +46,14 @@
 	MaxReason    = 1024    // bytes of a reason or message
 	MaxRenewals  = 4096    // renewals in one batch
 	MaxHistory   = 256     // versions in one reply
-	MaxSigners   = 2       // signatures of one change: there are two owners
-	MaxMembers   = 20      // controllers in a group and their replacements
+	MaxSigners   = 2       // signatures of one change, since there are two owners
+	MaxMembers   = 20      // controllers in a group, including their replacements
 	MaxInstances = 4096    // instances in one status reply, about 400 KB
-	MaxTopic     = 1024    // bytes of a question to Explain
+	MaxTopic     = 1024    // bytes of the topic of an Explain
 	MaxLines     = 1024    // lines of an explanation
 	MaxChunk     = 1 << 18 // bytes of a view in one Update
-	MaxChunks    = 256     // chunks of one view, that is 64 MiB
-	MaxReplicate = 3 << 19 // bytes of messages between replicas; a document fits, and a frame holds the rest
+	MaxChunks    = 256     // chunks of one view, 64 MiB in total
+	MaxReplicate = 3 << 19 // bytes of messages between replicas; holds a document and fits into a frame
 
 	signatureBytes = 64
 	publicKeyBytes = 32
@@ -62,7 +62,7 @@
 )
 
 const (
-	// maxElements bounds the lists and maps of a message. The longest lists are
+	// maxElements limits the lists and maps of a message. The longest lists are
 	// the renewals of a batch and the instances of a status reply.
 	maxElements = 1 << 13
 	maxNesting  = 8
@@ -71,7 +71,7 @@
 // Message is implemented by every message of this package.
 type Message interface{ Check() error }
 
-var decoding = func() cbor.DecMode {
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		MaxArrayElements: maxElements,
@@ -86,14 +86,14 @@
 	return mode
 }()
 
-// Decode decodes a message and checks its bounds. Errors have KindEncoding or
+// Decode decodes a message and checks its limits. Errors have KindEncoding or
 // KindBounds.
 func Decode[T any, P interface {
 	*T
 	Message
 }](encoded []byte) (T, error) {
 	var message T
-	if err := decoding.Unmarshal(encoded, &message); err != nil {
+	if err := decMode.Unmarshal(encoded, &message); err != nil {
 		return message, newError("decode", KindEncoding, err)
 	}
 
@@ -106,7 +106,7 @@
 	return message, nil
 }
 
-// Encode encodes a message and checks its bounds.
+// Encode checks the limits of a message and encodes it.
 func Encode(message Message) ([]byte, error) {
 	if err := message.Check(); err != nil {
 		return nil, err
@@ -120,44 +120,46 @@
 	return encoded, nil
 }
 
-// limits collects the first bound that a message exceeds.
-type limits struct {
+// validator records the first field of a message that is out of bounds.
+type validator struct {
 	message string
 	err     error
 }
 
-func check(message string) *limits { return &limits{message: message} }
+func newValidator(message string) *validator { return &validator{message: message} }
 
-// that records an error unless ok holds or there is an error already.
-func (l *limits) that(ok bool, format string, arguments ...any) *limits {
-	if l.err == nil && !ok {
-		l.err = newError("check "+l.message, KindBounds, errors.Errorf(format, arguments...))
+// require records an error if ok is false, unless an earlier one is recorded.
+func (v *validator) require(ok bool, format string, arguments ...any) *validator {
+	if v.err == nil && !ok {
+		v.err = newError("check "+v.message, KindBounds, errors.Errorf(format, arguments...))
 	}
 
-	return l
+	return v
 }
 
-func (l *limits) name(field, value string) *limits {
-	return l.that(value != "" && len(value) <= MaxName, "%s has %d bytes, 1 to %d are allowed", field, len(value), MaxName)
+func (v *validator) requiredName(field, value string) *validator {
+	return v.require(value != "" && len(value) <= MaxName,
+		"%s has %d bytes, 1 to %d are allowed", field, len(value), MaxName)
 }
 
-func (l *limits) optional(field, value string, limit int) *limits {
-	return l.that(len(value) <= limit, "%s has %d bytes, at most %d are allowed", field, len(value), limit)
+func (v *validator) maxBytes(field, value string, limit int) *validator {
+	return v.require(len(value) <= limit, "%s has %d bytes, at most %d are allowed", field, len(value), limit)
 }
 
-func (l *limits) changeID(value string) *limits {
-	return l.that(value != "", "change ID is empty").optional("change ID", value, MaxChangeID)
+func (v *validator) requiredChangeID(value string) *validator {
+	return v.require(value != "", "change ID is empty").maxBytes("change ID", value, MaxChangeID)
 }
 
-// optionalDigest allows a digest to be absent, as before the first document.
-func (l *limits) optionalDigest(value []byte) *limits {
-	return l.that(len(value) == 0 || len(value) == digestBytes, "digest has %d bytes", len(value))
+// optionalDigest accepts a missing digest: there is none before the first
+// document.
+func (v *validator) optionalDigest(value []byte) *validator {
+	return v.require(len(value) == 0 || len(value) == digestBytes, "digest has %d bytes", len(value))
 }
 
-func (l *limits) exactly(field string, value []byte, size int) *limits {
-	return l.that(len(value) == size, "%s has %d bytes instead of %d", field, len(value), size)
+func (v *validator) exactBytes(field string, value []byte, size int) *validator {
+	return v.require(len(value) == size, "%s has %d bytes instead of %d", field, len(value), size)
 }
 
-func (l *limits) atMost(field string, count, limit int) *limits {
-	return l.that(count <= limit, "%s has %d items, at most %d are allowed", field, count, limit)
+func (v *validator) maxItems(field string, count, limit int) *validator {
+	return v.require(count <= limit, "%s has %d items, at most %d are allowed", field, count, limit)
 }
--- a/internal/protocol/control/control_test.go
+++ b/internal/protocol/control/control_test.go
@@ -13,7 +13,7 @@
 
 var address = netip.MustParseAddrPort("127.0.0.1:7001")
 
-// decoders decodes bytes as each message.
+// decoders holds a decode function for each message type.
 var decoders = []func([]byte) (control.Message, error){
 	decoder[control.Announce], decoder[control.AnnounceReply], decoder[control.Renew], decoder[control.RenewReply],
 	decoder[control.Leave], decoder[control.LeaveReply], decoder[control.Watch], decoder[control.Update],
@@ -56,7 +56,7 @@
 	}
 }
 
-// Guards against messages that cannot cross a link.
+// Guards against messages that change when they are encoded and decoded.
 func TestRoundTrip(t *testing.T) {
 	is := is.New(t)
 
@@ -69,10 +69,10 @@
 		for _, decode := range decoders {
 			message, err := decode(encoded)
 			if err == nil {
-				again, err := control.Encode(message)
+				reencoded, err := control.Encode(message)
 				is.NoErr(err)
 
-				found = found || string(again) == string(encoded)
+				found = found || string(reencoded) == string(encoded)
 			}
 		}
 
@@ -80,28 +80,28 @@
 	}
 }
 
-// Guards against fields that exhaust the memory of a controller or that
-// handlers would have to check again.
+// Guards against fields that could exhaust the memory of a controller, and
+// against invalid fields that Check lets through to the handlers.
 func TestBounds(t *testing.T) {
 	announce := *samples()[0].(*control.Announce)
-	unsigned, nameless, portless := announce, announce, announce
+	unsigned, withoutService, withoutDataAddress := announce, announce, announce
 	unsigned.Signature = nil
-	nameless.Service = ""
-	portless.Data = netip.AddrPort{}
+	withoutService.Service = ""
+	withoutDataAddress.Data = netip.AddrPort{}
 
 	cases := map[string]control.Message{
 		"unsigned agent":        &unsigned,
-		"agent without service": &nameless,
-		"no data address":       &portless,
+		"agent without service": &withoutService,
+		"no data address":       &withoutDataAddress,
 		"long environment":      &control.Watch{Environment: string(make([]byte, control.MaxName+1))},
 		"long document": &control.Submit{
 			Environment: "e", ChangeID: "c", Author: "a", Document: make([]byte, control.MaxDocument+1),
 		},
 		"no change ID":         &control.Submit{Environment: "e", Author: "a", Document: []byte{1}},
-		"renewals":             &control.Renew{Environment: "e", Renewals: make([]control.Renewal, control.MaxRenewals+1)},
+		"too many renewals":    &control.Renew{Environment: "e", Renewals: make([]control.Renewal, control.MaxRenewals+1)},
 		"chunk after the last": &control.Update{Kind: control.UpdateFull, Chunk: 2, Chunks: 2},
-		"short key":            &control.ReplaceOwner{Owner: "a", NewName: "b", ChangeID: "c", Author: "a"},
-		"phase":                &control.Leave{Environment: "e"},
+		"missing public key":   &control.ReplaceOwner{Owner: "a", NewName: "b", ChangeID: "c", Author: "a"},
+		"unknown phase":        &control.Leave{Environment: "e"},
 	}
 
 	for name, message := range cases {
@@ -111,7 +111,7 @@
 	}
 }
 
-// Guards against bytes of a faulty or hostile peer that crash a decoder, and
+// Guards against input of a faulty or malicious peer that crashes a decoder, and
 // against decoded messages that cannot be encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, sample := range samples() {
--- a/internal/protocol/control/error.go
+++ b/internal/protocol/control/error.go
@@ -7,7 +7,7 @@
 
 // The kinds of errors of this package.
 const (
-	KindEncoding Kind = "encoding" // the bytes are not the message
+	KindEncoding Kind = "encoding" // the bytes are not a valid encoding of the message
 	KindBounds   Kind = "bounds"   // a field is out of bounds
 )
 
--- a/internal/protocol/control/operator.go
+++ b/internal/protocol/control/operator.go
@@ -16,9 +16,11 @@
 }
 
 // Check reports the first field out of bounds.
-func (s *Status) Check() error { return check("status").name("environment", s.Environment).err }
+func (s *Status) Check() error {
+	return newValidator("status").requiredName("environment", s.Environment).err
+}
 
-// Instance is what the leader knows about one agent or balancer.
+// Instance describes one agent or balancer as known to the leader.
 type Instance struct {
 	Incarnation view.Incarnation `cbor:"1,keyasint" json:"incarnation"`
 	Role        string           `cbor:"2,keyasint" json:"role"`
@@ -27,13 +29,13 @@
 	Data        netip.AddrPort   `cbor:"5,keyasint" json:"data"`
 	State       view.State       `cbor:"6,keyasint" json:"state"`
 	Weight      uint8            `cbor:"7,keyasint" json:"weight"`
-	Load        uint8            `cbor:"8,keyasint" json:"load"`         // percent, a hint
-	Position    view.Position    `cbor:"9,keyasint" json:"position"`     // in force, zero if not reported yet
-	InForce     time.Duration    `cbor:"10,keyasint" json:"in_force"`    // for how long the position is in force
+	Load        uint8            `cbor:"8,keyasint" json:"load"`         // percent, approximate
+	Position    view.Position    `cbor:"9,keyasint" json:"position"`     // of the applied view, zero if not reported yet
+	InForce     time.Duration    `cbor:"10,keyasint" json:"in_force"`    // how long the position has been in force
 	Renewed     time.Duration    `cbor:"11,keyasint" json:"renewed_ago"` // since the last renewal, negative if none
 }
 
-// StatusReply is read from the leader.
+// StatusReply is the state of an environment, read from the leader.
 type StatusReply struct {
 	Environment string        `cbor:"1,keyasint"`
 	Leader      string        `cbor:"2,keyasint"`
@@ -45,26 +47,26 @@
 	Services    uint32        `cbor:"8,keyasint"`
 	Agents      uint32        `cbor:"9,keyasint"`
 	Balancers   uint32        `cbor:"10,keyasint"`
-	// InForce counts the instances that reported the position, or a later one,
-	// with their last renewal.
+	// InForce counts the instances whose last renewal reported the position or a
+	// later one.
 	InForce  uint32 `cbor:"11,keyasint"`
-	Rotation uint64 `cbor:"12,keyasint"` // fabric keys rotated so far
-	// Instances lists at most MaxInstances by rising incarnation.
+	Rotation uint64 `cbor:"12,keyasint"` // number of fabric key rotations so far
+	// Instances lists at most MaxInstances in ascending order of incarnation.
 	Instances []Instance `cbor:"13,keyasint,omitempty"`
 }
 
 // Check reports the first field out of bounds.
 func (s *StatusReply) Check() error {
-	limits := check("status reply").
-		optional("environment", s.Environment, MaxName).
-		optional("leader", s.Leader, MaxName).
+	v := newValidator("status reply").
+		maxBytes("environment", s.Environment, MaxName).
+		maxBytes("leader", s.Leader, MaxName).
 		optionalDigest(s.Digest).
-		atMost("instances", len(s.Instances), MaxInstances)
+		maxItems("instances", len(s.Instances), MaxInstances)
 	if s.Pending != nil {
-		limits = s.Pending.limits(limits)
+		v = s.Pending.validate(v)
 	}
 
-	return limits.err
+	return v.err
 }
 
 // History asks for the newest changes of an environment.
@@ -75,9 +77,9 @@
 
 // Check reports the first field out of bounds.
 func (h *History) Check() error {
-	return check("history").
-		name("environment", h.Environment).
-		that(h.Limit <= MaxHistory, "limit is %d, at most %d is allowed", h.Limit, MaxHistory).
+	return newValidator("history").
+		requiredName("environment", h.Environment).
+		require(h.Limit <= MaxHistory, "limit is %d, at most %d is allowed", h.Limit, MaxHistory).
 		err
 }
 
@@ -89,18 +91,18 @@
 
 // Check reports the first field out of bounds.
 func (h *HistoryReply) Check() error {
-	limits := check("history reply").
-		atMost("changes", len(h.Changes), MaxHistory).
-		optional("leader", h.Leader, MaxName)
+	v := newValidator("history reply").
+		maxItems("changes", len(h.Changes), MaxHistory).
+		maxBytes("leader", h.Leader, MaxName)
 
 	for i := range h.Changes {
-		limits = h.Changes[i].limits(limits)
+		v = h.Changes[i].validate(v)
 	}
 
-	return limits.err
+	return v.err
 }
 
-// Explain asks why the controller is in its present state.
+// Explain asks why the controller is in its current state.
 type Explain struct {
 	Environment string `cbor:"1,keyasint"`
 	Topic       string `cbor:"2,keyasint"` // a service, an incarnation or a change ID
@@ -108,10 +110,10 @@
 
 // Check reports the first field out of bounds.
 func (e *Explain) Check() error {
-	return check("explain").name("environment", e.Environment).optional("topic", e.Topic, MaxTopic).err
+	return newValidator("explain").requiredName("environment", e.Environment).maxBytes("topic", e.Topic, MaxTopic).err
 }
 
-// ExplainReply is text for people.
+// ExplainReply is a human-readable explanation.
 type ExplainReply struct {
 	Lines  []string `cbor:"1,keyasint"`
 	Leader string   `cbor:"2,keyasint"`
@@ -119,19 +121,20 @@
 
 // Check reports the first field out of bounds.
 func (e *ExplainReply) Check() error {
-	return check("explain reply").
-		atMost("lines", len(e.Lines), MaxLines).
-		optional("leader", e.Leader, MaxName).
+	return newValidator("explain reply").
+		maxItems("lines", len(e.Lines), MaxLines).
+		maxBytes("leader", e.Leader, MaxName).
 		err
 }
 
-// MembersAction is what Members does.
+// MembersAction is the operation of a Members request.
 type MembersAction string
 
-// The actions on the controller group. Membership changes one at a time.
+// The operations on the controller group. Only one membership change may be in
+// progress at a time.
 const (
-	MembersList    MembersAction = "list" // as the leader knows them
-	MembersHere    MembersAction = "here" // as the controller that is asked knows them
+	MembersList    MembersAction = "list" // as known to the leader
+	MembersHere    MembersAction = "here" // as known to the controller that receives the request
 	MembersAdd     MembersAction = "add"  // as a learner
 	MembersPromote MembersAction = "promote"
 	MembersRemove  MembersAction = "remove"
@@ -143,7 +146,7 @@
 	Name    string         `cbor:"2,keyasint"`
 	Address netip.AddrPort `cbor:"3,keyasint"`
 	Voter   bool           `cbor:"4,keyasint"`
-	Match   uint64         `cbor:"5,keyasint,omitempty"` // log index known to be stored
+	Match   uint64         `cbor:"5,keyasint,omitempty"` // highest log index known to be replicated to it
 }
 
 // Members lists or changes the controller group.
@@ -154,14 +157,14 @@
 
 // Check reports the first field out of bounds.
 func (m *Members) Check() error {
-	list := m.Action == MembersList || m.Action == MembersHere
+	readOnly := m.Action == MembersList || m.Action == MembersHere
 
-	return check("members").
-		that(list || m.Action == MembersAdd || m.Action == MembersPromote || m.Action == MembersRemove,
+	return newValidator("members").
+		require(readOnly || m.Action == MembersAdd || m.Action == MembersPromote || m.Action == MembersRemove,
 			"action is %q", m.Action).
-		that(list || m.Member.Replica != 0, "replica is 0").
-		that(m.Action != MembersAdd || m.Member.Address.IsValid(), "address is %s", m.Member.Address).
-		optional("name", m.Member.Name, MaxName).
+		require(readOnly || m.Member.Replica != 0, "replica is 0").
+		require(m.Action != MembersAdd || m.Member.Address.IsValid(), "address is %s", m.Member.Address).
+		maxBytes("name", m.Member.Name, MaxName).
 		err
 }
 
@@ -169,33 +172,34 @@
 type MembersReply struct {
 	Members []Member `cbor:"1,keyasint"`
 	Leader  string   `cbor:"2,keyasint"`
-	// Cluster and Generation name the group, 0 if the controller belongs to none.
+	// Cluster and Generation identify the group, 0 if the controller belongs to
+	// none.
 	Cluster    uint64 `cbor:"3,keyasint"`
 	Generation uint64 `cbor:"4,keyasint"`
-	// Founding states that the controller waits to found a group.
+	// Founding reports whether the controller is waiting to bootstrap a new group.
 	Founding bool `cbor:"5,keyasint,omitempty"`
 }
 
 // Check reports the first field out of bounds.
 func (m *MembersReply) Check() error {
-	return check("members reply").
-		atMost("members", len(m.Members), MaxMembers).
-		optional("leader", m.Leader, MaxName).
+	return newValidator("members reply").
+		maxItems("members", len(m.Members), MaxMembers).
+		maxBytes("leader", m.Leader, MaxName).
 		err
 }
 
 // RotateKey asks for a new fabric key. The leader creates the secret.
 type RotateKey struct {
 	Environment string `cbor:"1,keyasint"`
-	Rotation    uint64 `cbor:"2,keyasint"` // rotations so far, so that a resend does not rotate twice
+	Rotation    uint64 `cbor:"2,keyasint"` // rotations so far, so that a retry does not rotate twice
 }
 
 // Check reports the first field out of bounds.
 func (r *RotateKey) Check() error {
-	return check("rotate key").name("environment", r.Environment).err
+	return newValidator("rotate key").requiredName("environment", r.Environment).err
 }
 
-// RotateKeyReply states the key in use, without its secret.
+// RotateKeyReply identifies the key in use, without its secret.
 type RotateKeyReply struct {
 	KeyID    uint8  `cbor:"1,keyasint"`
 	Rotation uint64 `cbor:"2,keyasint"` // rotations so far
@@ -204,17 +208,17 @@
 
 // Check reports the first field out of bounds.
 func (r *RotateKeyReply) Check() error {
-	return check("rotate key reply").optional("leader", r.Leader, MaxName).err
+	return newValidator("rotate key reply").maxBytes("leader", r.Leader, MaxName).err
 }
 
-// ReadIndex asks the leader for the log index that a read at another
-// controller must wait for.
+// ReadIndex asks the leader for the log index that another controller must have
+// applied before it serves a read.
 type ReadIndex struct{}
 
 // Check accepts every request.
 func (r *ReadIndex) Check() error { return nil }
 
-// ReadIndexReply states the index that a quorum confirmed.
+// ReadIndexReply returns the index that a quorum confirmed.
 type ReadIndexReply struct {
 	Index uint64 `cbor:"1,keyasint"`
 }
@@ -222,7 +226,7 @@
 // Check accepts every reply.
 func (r *ReadIndexReply) Check() error { return nil }
 
-// Replicate carries messages of the replicated log between controllers.
+// Replicate carries Raft messages between controllers.
 type Replicate struct {
 	Replica  uint64         `cbor:"1,keyasint"` // sender
 	Address  netip.AddrPort `cbor:"2,keyasint"` // where the sender listens
@@ -236,9 +240,9 @@
 		total += len(message)
 	}
 
-	return check("replicate").
-		that(r.Replica != 0, "replica is 0").
-		that(r.Address.IsValid(), "address is %s", r.Address).
-		that(total > 0 && total <= MaxReplicate, "messages have %d bytes, 1 to %d are allowed", total, MaxReplicate).
+	return newValidator("replicate").
+		require(r.Replica != 0, "replica is 0").
+		require(r.Address.IsValid(), "address is %s", r.Address).
+		require(total > 0 && total <= MaxReplicate, "messages have %d bytes, 1 to %d are allowed", total, MaxReplicate).
 		err
 }
