--- a/internal/protocol/datagram/datagram.go
+++ b/internal/protocol/datagram/datagram.go
@@ -1,5 +1,6 @@
-// Package datagram is the fixed-length header of the datagrams between
-// balancers and agents. The payload behind it is QUIC, which protects itself.
+// Package datagram encodes and authenticates the fixed-length header of the
+// datagrams between balancers and agents. The QUIC payload that follows is not
+// covered, because QUIC protects it.
 //
 // # Usage
 //
@@ -27,17 +28,17 @@
 	"jayspindle/internal/state/view"
 )
 
-// Kind says what a datagram is for.
+// Kind is the purpose of a datagram.
 type Kind uint8
 
 // The kinds of datagrams.
 const (
-	Forward Kind = iota + 1 // from a caller, balancer to agent
-	Reply                   // to a caller, agent to balancer
+	Forward Kind = iota + 1 // balancer to agent: from a caller
+	Reply                   // agent to balancer: to a caller
 	Stale                   // agent to balancer: the datagram was for another incarnation or service
-	Ping                    // either direction: answer with a pong
+	Ping                    // either direction: the receiver replies with a pong
 	Pong
-	kinds
+	kindLimit // first value that is not a kind
 )
 
 // The offsets of the fields, in bytes. All integers are big-endian.
@@ -59,21 +60,21 @@
 )
 
 // acceptedKeys is the number of fabric keys that a receiver accepts. With one
-// less, a receiver that applied a rotation early would drop what a sender one
-// view behind has sealed.
+// less, a receiver that applied a rotation early would drop the datagrams of a
+// sender that is one view behind.
 const acceptedKeys = 3
 
-// Header is the decoded form of a header.
+// Header is a decoded datagram header.
 type Header struct {
 	Kind     Kind
 	Service  view.ServiceID
-	Agent    view.Incarnation // sender or receiver
-	Balancer view.Incarnation // receiver or sender
-	Index    uint64           // position index of the sender's view
-	Caller   netip.AddrPort   // unmapped, without zone; the zero value for pings and pongs
+	Agent    view.Incarnation // receiver or sender, by Kind
+	Balancer view.Incarnation // sender or receiver, by Kind
+	Index    uint64           // index of the position of the sender's view
+	Caller   netip.AddrPort   // IPv4 unmapped, without zone; zero for pings and pongs
 }
 
-// Reason says why a datagram was not accepted. It indexes arrays of counters.
+// Reason is why a datagram was rejected. It indexes arrays of counters.
 type Reason uint8
 
 // The reasons. OK means that the header is authentic.
@@ -81,8 +82,8 @@
 	OK         Reason = iota
 	Short             // shorter than a header
 	UnknownKey        // another format or a key that is not in the ring
-	BadTag            // the tag does not match the fields
-	BadField          // authentic, but with a kind or flag that this release does not know
+	BadTag            // the tag does not match the header
+	BadField          // authentic, but with a kind or flag that this release does not support
 	Reasons           // the number of reasons
 )
 
@@ -97,22 +98,22 @@
 	return reasonNames[r]
 }
 
-// secret is a SipHash key.
-type secret struct{ k0, k1 uint64 }
+// siphashKey holds the two halves of a 128-bit SipHash key.
+type siphashKey struct{ k0, k1 uint64 }
 
 // Keys seals with the predecessor of the newest fabric key and opens with the
 // newest three. It is immutable and safe for concurrent use.
 type Keys struct {
-	ring *keyring.Ring[secret]
+	ring *keyring.Ring[siphashKey]
 }
 
 // New returns the keys derived from the fabric keys, which are newest first.
 // It fails with a *keyring.Error.
 func New(keys []view.Key) (*Keys, error) {
-	ring, err := keyring.New(keys, acceptedKeys, func(key view.Key) (secret, error) {
+	ring, err := keyring.New(keys, acceptedKeys, func(key view.Key) (siphashKey, error) {
 		derived := keyring.Derive(key, keyring.Datagram, 16)
 
-		return secret{binary.LittleEndian.Uint64(derived), binary.LittleEndian.Uint64(derived[8:])}, nil
+		return siphashKey{binary.LittleEndian.Uint64(derived), binary.LittleEndian.Uint64(derived[8:])}, nil
 	})
 	if err != nil {
 		return nil, err
@@ -158,14 +159,14 @@
 		return UnknownKey
 	}
 
-	// The difference of two 64-bit words is tested in one operation, so the
-	// time does not depend on how many bytes of a forged tag are right.
+	// The 64-bit tags are compared in one operation, so the time does not
+	// depend on how many bytes of a forged tag are correct.
 	if siphash.Hash(key.k0, key.k1, received[:offsetTag]) != binary.BigEndian.Uint64(received[offsetTag:]) {
 		return BadTag
 	}
 
 	kind := Kind(received[offsetKind])
-	if kind == 0 || kind >= kinds || binary.BigEndian.Uint16(received[offsetFlags:]) != 0 {
+	if kind == 0 || kind >= kindLimit || binary.BigEndian.Uint16(received[offsetFlags:]) != 0 {
 		return BadField
 	}
 
@@ -184,8 +185,8 @@
 	return OK
 }
 
-// callerOf returns the zero value for the address that Seal writes when there
-// is no caller.
+// callerOf returns the caller's address, or the zero value for the unspecified
+// address that Seal writes if there is no caller.
 func callerOf(address netip.Addr, port uint16) netip.AddrPort {
 	if address.IsUnspecified() && port == 0 {
 		return netip.AddrPort{}
--- a/internal/protocol/datagram/datagram_test.go
+++ b/internal/protocol/datagram/datagram_test.go
@@ -15,31 +15,31 @@
 func keys(t testing.TB, ids ...uint8) *datagram.Keys {
 	t.Helper()
 
-	ring := make([]view.Key, 0, len(ids))
+	fabricKeys := make([]view.Key, 0, len(ids))
 	for _, id := range ids {
-		ring = append(ring, key(id))
+		fabricKeys = append(fabricKeys, key(id))
 	}
 
-	made, err := datagram.New(ring)
+	derived, err := datagram.New(fabricKeys)
 	is.New(t).NoErr(err)
 
-	return made
+	return derived
 }
 
 func header(caller string) datagram.Header {
-	made := datagram.Header{Kind: datagram.Forward, Service: 513, Agent: 1 << 20, Balancer: 77, Index: 1 << 40}
+	h := datagram.Header{Kind: datagram.Forward, Service: 513, Agent: 1 << 20, Balancer: 77, Index: 1 << 40}
 	if caller != "" {
-		made.Caller = netip.MustParseAddrPort(caller)
+		h.Caller = netip.MustParseAddrPort(caller)
 	}
 
-	return made
+	return h
 }
 
-func sealed(t testing.TB, made datagram.Header, ids ...uint8) []byte {
+func seal(t testing.TB, h datagram.Header, ids ...uint8) []byte {
 	t.Helper()
 
 	buffer := make([]byte, datagram.HeaderLength+3)
-	keys(t, ids...).Seal(buffer, &made)
+	keys(t, ids...).Seal(buffer, &h)
 
 	return buffer
 }
@@ -62,34 +62,34 @@
 	is.New(t).Equal(got, datagram.Header{}) // unchanged
 }
 
-// Guards against fields that do not survive the encoding, above all the two
-// address families and the absent caller of a ping.
+// Guards against fields that change when they are encoded and decoded, such as
+// the caller's address in either family or the missing caller of a ping.
 func TestRoundTrip(t *testing.T) {
 	for _, caller := range []string{"203.0.113.9:443", "[2001:db8::1]:65535", ""} {
-		assertOpens(t, keys(t, 1), sealed(t, header(caller), 1), header(caller))
+		assertOpens(t, keys(t, 1), seal(t, header(caller), 1), header(caller))
 	}
 }
 
-// Guards against refusing the datagrams of instances that are one key rotation
-// behind or ahead, and against accepting retired keys.
+// Guards against rejecting the datagrams of instances that are one key rotation
+// behind or ahead, and against accepting retired or unknown keys.
 func TestRotation(t *testing.T) {
 	for _, rings := range [][2][]uint8{{{1}, {2, 1}}, {{2, 1}, {3, 2, 1}}, {{3, 2, 1}, {4, 3, 2, 1}}} {
-		behind, ahead := rings[0], rings[1]
+		older, newer := rings[0], rings[1]
 
-		assertOpens(t, keys(t, behind...), sealed(t, header(""), ahead...), header(""))
-		assertOpens(t, keys(t, ahead...), sealed(t, header(""), behind...), header(""))
+		assertOpens(t, keys(t, older...), seal(t, header(""), newer...), header(""))
+		assertOpens(t, keys(t, newer...), seal(t, header(""), older...), header(""))
 	}
 
-	assertRefused(t, keys(t, 4, 3, 2, 1), sealed(t, header(""), 1), datagram.UnknownKey)
-	assertRefused(t, keys(t, 1), sealed(t, header(""), 2), datagram.UnknownKey)
+	assertRefused(t, keys(t, 4, 3, 2, 1), seal(t, header(""), 1), datagram.UnknownKey)
+	assertRefused(t, keys(t, 1), seal(t, header(""), 2), datagram.UnknownKey)
 }
 
-// Guards against forged headers: every bit of the header is protected.
+// Guards against accepting forged headers: changing any bit has to be detected.
 func TestForged(t *testing.T) {
 	opener := keys(t, 1)
 
 	for bit := range datagram.HeaderLength * 8 {
-		buffer := sealed(t, header("203.0.113.9:443"), 1)
+		buffer := seal(t, header("203.0.113.9:443"), 1)
 		buffer[bit/8] ^= 1 << (bit % 8)
 
 		var got datagram.Header
@@ -97,15 +97,15 @@
 		is.New(t).True(opener.Open(buffer, &got) != datagram.OK)
 	}
 
-	assertRefused(t, opener, sealed(t, header(""), 1)[:datagram.HeaderLength-1], datagram.Short)
-	assertRefused(t, opener, sealed(t, datagram.Header{Kind: 9}, 1), datagram.BadField)
+	assertRefused(t, opener, seal(t, header(""), 1)[:datagram.HeaderLength-1], datagram.Short)
+	assertRefused(t, opener, seal(t, datagram.Header{Kind: 9}, 1), datagram.BadField)
 }
 
-// Guards against a panic or an accepted forgery on any input.
+// Guards against a panic or an accepted forgery on arbitrary input.
 func FuzzOpen(f *testing.F) {
 	opener := keys(f, 1, 2)
 
-	f.Add(sealed(f, header("203.0.113.9:443"), 1))
+	f.Add(seal(f, header("203.0.113.9:443"), 1))
 	f.Add([]byte{0x41})
 	f.Fuzz(func(t *testing.T, input []byte) {
 		var got datagram.Header
@@ -113,24 +113,24 @@
 			return
 		}
 
-		again := make([]byte, datagram.HeaderLength)
-		keys(t, input[0]&0x3f).Seal(again, &got)
-		is.New(t).Equal(again, input[:datagram.HeaderLength])
+		resealed := make([]byte, datagram.HeaderLength)
+		keys(t, input[0]&0x3f).Seal(resealed, &got)
+		is.New(t).Equal(resealed, input[:datagram.HeaderLength])
 	})
 }
 
 func BenchmarkSeal(b *testing.B) {
-	sealer, made, buffer := keys(b, 1), header("203.0.113.9:443"), make([]byte, 64)
+	sealer, h, buffer := keys(b, 1), header("203.0.113.9:443"), make([]byte, 64)
 
 	b.ReportAllocs()
 
 	for b.Loop() {
-		sealer.Seal(buffer, &made)
+		sealer.Seal(buffer, &h)
 	}
 }
 
 func BenchmarkOpen(b *testing.B) {
-	opener, buffer := keys(b, 1), sealed(b, header("203.0.113.9:443"), 1)
+	opener, buffer := keys(b, 1), seal(b, header("203.0.113.9:443"), 1)
 
 	var got datagram.Header
 
