--- a/internal/protocol/keyring/error.go
+++ b/internal/protocol/keyring/error.go
@@ -7,9 +7,9 @@
 
 // The kinds of errors of this package.
 const (
-	KindEmpty     Kind = "empty"     // there is no fabric key yet
-	KindAmbiguous Kind = "ambiguous" // two keys share the identifier that is sent
-	KindCipher    Kind = "cipher"    // a key could not be prepared for use
+	KindEmpty     Kind = "empty"     // the view has no fabric key
+	KindAmbiguous Kind = "ambiguous" // two keys have the same ID in the marker byte
+	KindCipher    Kind = "cipher"    // the cipher could not be created from a key
 )
 
 // Error is the error type of this package.
--- a/internal/protocol/keyring/keyring.go
+++ b/internal/protocol/keyring/keyring.go
@@ -1,17 +1,17 @@
-// Package keyring derives the keys of each use from the fabric keys of a view
-// and finds them by the identifier that is sent with a datagram.
+// Package keyring derives a key for each purpose from the fabric keys of a view,
+// and looks keys up by the marker byte that is sent with a datagram.
 //
 // # Usage
 //
-//	ring, err := keyring.New(current.Keys(), 3, func(key view.Key) (secret, error) {
+//	ring, err := keyring.New(current.Keys(), 3, func(key view.Key) (siphashKey, error) {
 //		return expand(keyring.Derive(key, keyring.Datagram, 16))
 //	})
-//	marker, sealing := ring.Sealing() // to protect
-//	known := ring.Find(firstByte)     // to verify; nil for an unknown key
+//	marker, sealing := ring.Sealing() // key for sealing
+//	opening := ring.Find(firstByte)   // key for opening; nil if it is unknown
 //
-// Instances apply a rotation at different times. Senders therefore seal with
-// the predecessor of the newest key, which a receiver one rotation behind knows
-// too, and receivers accept the key before that from senders that are behind.
+// Instances apply a key rotation at different times. Senders therefore seal with
+// the predecessor of the newest key, which a receiver that is one rotation behind
+// has too. Receivers also accept the key before that, for senders that are behind.
 //
 // The marker byte holds the format in its two high bits and the key ID modulo
 // 64 in the others. A Ring is immutable, so goroutines share it without locks.
@@ -29,7 +29,7 @@
 // Purpose is the label that separates the keys derived for different uses.
 type Purpose string
 
-// The uses of a fabric key. A changed format needs a new label.
+// The purposes of a fabric key. A change of the format of one needs a new label.
 const (
 	Datagram       Purpose = "jayspindle datagram 1"
 	ConnectionID   Purpose = "jayspindle connection id 1"
@@ -38,10 +38,10 @@
 )
 
 const (
-	format     = 0x40 // the format of this release
+	format     = 0x40 // format version of this release
 	formatMask = 0xc0
 	idMask     = 0x3f
-	slots      = idMask + 1
+	slotCount  = idMask + 1
 )
 
 // Derive returns length bytes derived from a fabric key with HKDF-SHA-256
@@ -56,17 +56,17 @@
 	return derived
 }
 
-// Marker returns the byte that identifies the format and the key.
+// Marker returns the marker byte of a key.
 func Marker(id uint8) byte { return format | id&idMask }
 
-// Ring holds what is derived from each accepted key.
+// Ring holds an item derived from each accepted key, such as a cipher.
 type Ring[T any] struct {
 	marker byte
-	slots  [slots]*T
+	slots  [slotCount]*T
 }
 
-// New builds a ring of the first limit keys, newest first. A limit of 0 means
-// all keys.
+// New builds a ring from the first limit keys, which are sorted from newest to
+// oldest. A limit of 0 means all keys.
 func New[T any](keys []view.Key, limit int, build func(view.Key) (T, error)) (*Ring[T], error) {
 	if len(keys) == 0 {
 		return nil, newError("new", KindEmpty, errors.New("the view has no fabric key"))
@@ -82,7 +82,8 @@
 	for _, key := range keys {
 		slot := key.ID & idMask
 		if ring.slots[slot] != nil {
-			return nil, newError("new", KindAmbiguous, errors.Errorf("%s equals another key modulo %d", key, slots))
+			return nil, newError("new", KindAmbiguous,
+				errors.Errorf("%s has the same ID as another key modulo %d", key, slotCount))
 		}
 
 		item, err := build(key)
@@ -96,11 +97,11 @@
 	return ring, nil
 }
 
-// Sealing returns the marker and the item of the key to protect with.
+// Sealing returns the marker and the item of the key for sealing.
 func (r *Ring[T]) Sealing() (byte, *T) { return r.marker, r.slots[r.marker&idMask] }
 
-// Find returns the item that a marker names, or nil if the format or the key
-// is not known.
+// Find returns the item of the key with the given marker, or nil if the format
+// or the key is unknown.
 func (r *Ring[T]) Find(marker byte) *T {
 	if marker&formatMask != format {
 		return nil
--- a/internal/protocol/keyring/keyring_test.go
+++ b/internal/protocol/keyring/keyring_test.go
@@ -10,7 +10,7 @@
 	"jayspindle/internal/state/view"
 )
 
-func ring(limit int, ids ...uint8) (*keyring.Ring[uint8], error) {
+func newRing(limit int, ids ...uint8) (*keyring.Ring[uint8], error) {
 	keys := make([]view.Key, 0, len(ids))
 	for _, id := range ids {
 		keys = append(keys, view.Key{ID: id})
@@ -28,22 +28,24 @@
 	is.New(t).Equal(typed.Kind(), want)
 }
 
-// Guards against a ring in which a marker names two keys or none.
+// Guards against a ring that is empty or has two keys with the same marker, and
+// against keys that are found although they exceed the limit or have another
+// format.
 func TestNew(t *testing.T) {
-	_, err := ring(0)
+	_, err := newRing(0)
 	assertKind(t, err, keyring.KindEmpty)
 
-	_, err = ring(0, 65, 1)
+	_, err = newRing(0, 65, 1)
 	assertKind(t, err, keyring.KindAmbiguous)
 
-	made, err := ring(2, 70, 69, 68)
+	ring, err := newRing(2, 70, 69, 68)
 	is.New(t).NoErr(err)
-	is.New(t).Equal(*made.Find(keyring.Marker(69)), uint8(69))
-	is.New(t).Equal(made.Find(keyring.Marker(68)), nil)
-	is.New(t).Equal(made.Find(keyring.Marker(69)^0xc0), nil)
+	is.New(t).Equal(*ring.Find(keyring.Marker(69)), uint8(69))
+	is.New(t).Equal(ring.Find(keyring.Marker(68)), nil)
+	is.New(t).Equal(ring.Find(keyring.Marker(69)^0xc0), nil)
 }
 
-// Guards against one use of a fabric key that reveals the key of another.
+// Guards against deriving the same key for two purposes.
 func TestDerive(t *testing.T) {
 	seen := map[string]bool{}
 	for _, purpose := range []keyring.Purpose{
