--- a/internal/protocol/peer/peer.go
+++ b/internal/protocol/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer is the messages between the agents of one service: a request
-// that one agent places on another, and the frames of its response.
+// Package peer defines the messages between the agents of one service: a request
+// that one agent forwards to another, and the frames of its response.
 //
 // # Usage
 //
@@ -7,8 +7,8 @@
 //	var frame peer.Frame
 //	more, err := stream.Next(&frame)
 //
-// The first frame says whether the request ran. Frames with parts of the body
-// follow until the stream ends.
+// The first frame has the State of the request. Frames with parts of the response
+// body follow until the stream ends.
 package peer
 
 import (
@@ -16,22 +16,23 @@
 	"time"
 )
 
-// MethodRun is the server stream that runs a request: Run, then Frames.
+// MethodRun is the call that runs a request. It takes a Run and returns a server
+// stream of Frames.
 const MethodRun = "run"
 
-// The bounds of the messages, in bytes.
+// The limits of the messages, in bytes.
 const (
 	MaxBody  = 1 << 20  // of a request
-	MaxChunk = 32 << 10 // of a part of a response
+	MaxChunk = 32 << 10 // of the body part in a Frame
 	MaxText  = 8 << 10  // of a target or a key
 )
 
-// State is what is known about a request.
+// State tells whether a request was run.
 type State uint8
 
-// The states.
+// The states of a request.
 const (
-	NotRun   State = iota + 1 // it was not handed over and will not be
+	NotRun   State = iota + 1 // it was not sent to a backend server and will not be
 	Unknown                   // it may have run
 	Answered                  // the backend server answered
 )
@@ -50,7 +51,7 @@
 	}
 }
 
-// Run asks a sibling to run a request on its backend server.
+// Run asks another agent to run a request on its backend server.
 type Run struct {
 	Class   string        `cbor:"1,keyasint"`
 	Method  string        `cbor:"2,keyasint"`
@@ -59,7 +60,7 @@
 	Body    []byte        `cbor:"5,keyasint,omitempty"`
 	Timeout time.Duration `cbor:"6,keyasint"` // time left until the deadline
 	Key     string        `cbor:"7,keyasint,omitempty"`
-	Start   time.Duration `cbor:"8,keyasint"` // time left for the hand-over
+	Start   time.Duration `cbor:"8,keyasint"` // time left until it has to be handed to the backend server
 }
 
 // Check reports the first field out of bounds.
@@ -76,10 +77,10 @@
 	}
 }
 
-// Frame is a part of a response.
+// Frame is one message of a response stream.
 type Frame struct {
 	State  State       `cbor:"1,keyasint,omitempty"` // first frame only
-	Reason string      `cbor:"2,keyasint,omitempty"` // why it was not run or is unknown
+	Reason string      `cbor:"2,keyasint,omitempty"` // why State is NotRun or Unknown
 	Status int         `cbor:"3,keyasint,omitempty"` // first frame only
 	Header http.Header `cbor:"4,keyasint,omitempty"` // first frame only
 	Body   []byte      `cbor:"5,keyasint,omitempty"`
