--- a/internal/protocol/wire/wire.go
+++ b/internal/protocol/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire holds the messages between the processes of pass-through
-// services. The first byte of a message is its Kind. Messages about single
-// flows have a fixed layout, because there is one for each new flow; all others
+// Package wire defines the messages between the processes of pass-through
+// services. The first byte of a message is its Kind. Messages about single flows
+// have a fixed binary layout, because one is sent for each new flow; all others
 // are CBOR.
 //
 // # Usage
@@ -24,19 +24,19 @@
 	"jayspindle/internal/state/roster"
 )
 
-// Kind tells what a message is.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	KindReplicate    Kind = iota + 1 // a raft message, between controllers
+	KindReplicate    Kind = iota + 1 // a Raft message, between controllers
 	KindPoll                         // Poll, to a controller
 	KindPollReply                    // PollReply
 	KindFetch                        // Fetch, to a controller
 	KindDocument                     // an encoded route.Document
 	KindEnter                        // Enter, to a controller
 	KindEnterReply                   // EnterReply
-	KindNews                         // no body: the receiver should poll now
+	KindNews                         // no body: asks the receiver to poll now
 	KindAccepted                     // Accepted, to an entry instance
 	KindReturned                     // Returned, to an entry instance
 	KindLocate                       // Locate, to an agent
@@ -45,13 +45,14 @@
 	KindCheckpoint                   // a checkpoint.Batch, to a controller
 	KindCheckpointed                 // Checkpointed, to an agent
 	KindRecall                       // Recall, to a controller
-	KindRecalled                     // the batches of the agent, one behind the other
+	KindRecalled                     // the checkpoint batches of the agent, concatenated
 )
 
 // ErrorKind classifies an Error.
 type ErrorKind string
 
-// KindMalformed is the kind of all errors: the bytes are not such a message.
+// KindMalformed is the kind of all errors: the message cannot be encoded or
+// decoded.
 const KindMalformed ErrorKind = "malformed"
 
 // Error is the error type of this package.
@@ -61,7 +62,8 @@
 	return failure.New("wire", operation, KindMalformed, err)
 }
 
-// Split returns the kind of a message and its body.
+// Split returns the kind and the body of a message. It reports false if the
+// message is empty.
 func Split(message []byte) (kind Kind, body []byte, ok bool) {
 	if len(message) == 0 {
 		return 0, nil, false
@@ -70,7 +72,7 @@
 	return Kind(message[0]), message[1:], true
 }
 
-// Encode returns a CBOR message.
+// Encode returns a message with a CBOR body.
 func Encode[T any](kind Kind, body T) ([]byte, error) {
 	encoded, err := cbor.Marshal(body)
 	if err != nil {
@@ -80,7 +82,7 @@
 	return append([]byte{byte(kind)}, encoded...), nil
 }
 
-// Decode reads the body of a CBOR message.
+// Decode decodes a CBOR body.
 func Decode[T any](body []byte) (T, error) {
 	var decoded T
 	if err := cbor.Unmarshal(body, &decoded); err != nil {
@@ -90,33 +92,35 @@
 	return decoded, nil
 }
 
-// Poll is what an instance tells a controller several times a second.
+// Poll reports the state of an instance to a controller, several times a second.
 type Poll struct {
 	Boot     uint64         `cbor:"1,keyasint"` // random for each start of the sender
-	Sequence uint64         `cbor:"2,keyasint"` // rises with each poll
+	Sequence uint64         `cbor:"2,keyasint"` // increases with each poll
 	Version  uint64         `cbor:"3,keyasint"` // of the document that the sender has
 	Agent    *roster.Record `cbor:"4,keyasint,omitempty"`
 	Follows  bool           `cbor:"5,keyasint,omitempty"` // the sender wants the list of agents
 	Epoch    uint64         `cbor:"6,keyasint,omitempty"` // of the list that the sender has
-	Position uint64         `cbor:"7,keyasint,omitempty"`
-	// Quiet asks for an answer only if the controller has a newer document: the
-	// sender follows another controller.
+	Position uint64         `cbor:"7,keyasint,omitempty"` // of the list that the sender has
+	// Quiet asks for a reply only if the controller has a newer document. It is
+	// set if the sender follows another controller.
 	Quiet bool `cbor:"8,keyasint,omitempty"`
 }
 
 // PollReply answers a Poll.
 type PollReply struct {
 	Sequence    uint64          `cbor:"1,keyasint"`
-	Version     uint64          `cbor:"2,keyasint"`           // of the newest document that the controller has
-	Controllers []flow.Endpoint `cbor:"3,keyasint"`           // all controllers of the group
-	Settled     bool            `cbor:"4,keyasint,omitempty"` // the controller hears the group and its list is complete
-	Epoch       uint64          `cbor:"5,keyasint,omitempty"`
-	Position    uint64          `cbor:"6,keyasint,omitempty"`
-	Whole       bool            `cbor:"7,keyasint,omitempty"` // Agents is the whole list
-	Agents      []roster.Record `cbor:"8,keyasint,omitempty"`
+	Version     uint64          `cbor:"2,keyasint"` // of the newest document that the controller has
+	Controllers []flow.Endpoint `cbor:"3,keyasint"` // all controllers of the group
+	// Settled reports whether the controller is in contact with the group and its
+	// document and list are complete.
+	Settled  bool            `cbor:"4,keyasint,omitempty"`
+	Epoch    uint64          `cbor:"5,keyasint,omitempty"`
+	Position uint64          `cbor:"6,keyasint,omitempty"`
+	Whole    bool            `cbor:"7,keyasint,omitempty"` // Agents is the complete list, not only the changes
+	Agents   []roster.Record `cbor:"8,keyasint,omitempty"`
 }
 
-// Fetch asks a controller for its newest document.
+// Fetch asks a controller for its newest document, if it is newer than Above.
 type Fetch struct {
 	Above uint64 `cbor:"1,keyasint"` // the version that the sender has
 }
@@ -126,9 +130,9 @@
 	Replica uint64 `cbor:"1,keyasint"`
 }
 
-// EnterReply names the group to a sender of Enter.
+// EnterReply tells the sender of an Enter about the group.
 type EnterReply struct {
-	Cluster     uint64          `cbor:"1,keyasint"` // 0 if the answer only names controllers
+	Cluster     uint64          `cbor:"1,keyasint"` // 0 if the reply only lists the controllers
 	Generation  uint64          `cbor:"2,keyasint"`
 	Controllers []flow.Endpoint `cbor:"3,keyasint"`
 }
@@ -156,7 +160,7 @@
 	}
 }
 
-func need(operation string, body []byte, length int) error {
+func checkLength(operation string, body []byte, length int) error {
 	if len(body) < length {
 		return newError(operation, fmt.Errorf("%d bytes, at least %d are needed", len(body), length))
 	}
@@ -164,7 +168,7 @@
 	return nil
 }
 
-// Accepted tells that the backend server of the sender has accepted a flow.
+// Accepted reports that the sender's backend server accepted a flow.
 type Accepted struct {
 	Key  flow.Key
 	Load roster.Load
@@ -177,15 +181,15 @@
 
 // ParseAccepted reads the body of an Accepted.
 func ParseAccepted(body []byte) (Accepted, error) {
-	if err := need("parse accepted", body, flow.KeyBytes+loadBytes); err != nil {
+	if err := checkLength("parse accepted", body, flow.KeyBytes+loadBytes); err != nil {
 		return Accepted{}, err
 	}
 
 	return Accepted{Key: flow.ParseKey(body), Load: parseLoad(body[flow.KeyBytes:])}, nil
 }
 
-// Returned gives a packet back that the sender cannot deliver. Packet is as the
-// client sent it.
+// Returned hands a packet that the sender cannot deliver back to the entry
+// instance. Packet is as the client sent it.
 type Returned struct {
 	Load   roster.Load
 	Packet []byte
@@ -196,16 +200,17 @@
 	return append(appendLoad(append(buffer, byte(KindReturned)), r.Load), r.Packet...)
 }
 
-// ParseReturned reads the body of a Returned. The packet refers to the body.
+// ParseReturned reads the body of a Returned. The packet aliases the body.
 func ParseReturned(body []byte) (Returned, error) {
-	if err := need("parse returned", body, loadBytes); err != nil {
+	if err := checkLength("parse returned", body, loadBytes); err != nil {
 		return Returned{}, err
 	}
 
 	return Returned{Load: parseLoad(body), Packet: body[loadBytes:]}, nil
 }
 
-// Found tells that the sender holds a flow that it was unsure of.
+// Found reports that the sender's backend server holds a flow of which the sender
+// was not sure before.
 type Found struct{ Key flow.Key }
 
 // Append appends the message to the buffer.
@@ -215,21 +220,22 @@
 
 // ParseFound reads the body of a Found.
 func ParseFound(body []byte) (Found, error) {
-	if err := need("parse found", body, flow.KeyBytes); err != nil {
+	if err := checkLength("parse found", body, flow.KeyBytes); err != nil {
 		return Found{}, err
 	}
 
 	return Found{Key: flow.ParseKey(body)}, nil
 }
 
-// Recall asks a controller for the flows of the sender before it started.
+// Recall asks a controller for the checkpointed flows that the sender had before
+// it restarted.
 type Recall struct {
-	Agent flow.Endpoint `cbor:"1,keyasint"` // receives the packets of clients
+	Agent flow.Endpoint `cbor:"1,keyasint"` // address at which the sender receives the packets of clients
 }
 
-// Locate asks an agent whether its backend server holds flows.
+// Locate asks an agent which of the flows its backend server holds.
 type Locate struct {
-	ID   uint32 // of the question, for the answer
+	ID   uint32 // copied to the Located
 	Keys []flow.Key
 }
 
@@ -245,7 +251,7 @@
 
 // ParseLocate reads the body of a Locate.
 func ParseLocate(body []byte) (Locate, error) {
-	if err := need("parse locate", body, idBytes+flow.KeyBytes); err != nil {
+	if err := checkLength("parse locate", body, idBytes+flow.KeyBytes); err != nil {
 		return Locate{}, err
 	}
 
@@ -257,7 +263,7 @@
 	return locate, nil
 }
 
-// Located answers a Locate, in the order of its keys.
+// Located answers a Locate. Answers are in the order of its keys.
 type Located struct {
 	ID      uint32
 	Answers []flow.Answer
@@ -275,7 +281,7 @@
 
 // ParseLocated reads the body of a Located.
 func ParseLocated(body []byte) (Located, error) {
-	if err := need("parse located", body, idBytes); err != nil {
+	if err := checkLength("parse located", body, idBytes); err != nil {
 		return Located{}, err
 	}
 
--- a/internal/protocol/wire/wire_test.go
+++ b/internal/protocol/wire/wire_test.go
@@ -15,8 +15,8 @@
 	Service: flow.Endpoint{IP: [4]byte{198, 51, 100, 1}, Port: 443},
 }
 
-// body returns the body of a message after checking its kind.
-func body(t *testing.T, message []byte, want wire.Kind) []byte {
+// splitBody checks the kind of a message and returns its body.
+func splitBody(t *testing.T, message []byte, want wire.Kind) []byte {
 	t.Helper()
 
 	kind, body, ok := wire.Split(message)
@@ -26,15 +26,15 @@
 	return body
 }
 
-// TestFlowMessages guards against fields that one process writes and another
-// reads at a different place, and against a crash by a message that was cut off.
+// TestFlowMessages guards against fields that are encoded and decoded at different
+// offsets, and against a panic on truncated messages.
 func TestFlowMessages(t *testing.T) {
 	load := roster.Load{Flows: 300, Waiting: 7, Failing: true}
 
 	t.Run("accepted", func(t *testing.T) {
 		is := is.New(t)
 		want := wire.Accepted{Key: key, Load: load}
-		encoded := body(t, want.Append(nil), wire.KindAccepted)
+		encoded := splitBody(t, want.Append(nil), wire.KindAccepted)
 
 		got, err := wire.ParseAccepted(encoded)
 		is.NoErr(err)
@@ -48,7 +48,7 @@
 		is := is.New(t)
 		want := wire.Returned{Load: load, Packet: []byte("packet")}
 
-		got, err := wire.ParseReturned(body(t, want.Append(nil), wire.KindReturned))
+		got, err := wire.ParseReturned(splitBody(t, want.Append(nil), wire.KindReturned))
 		is.NoErr(err)
 		is.Equal(got, want)
 
@@ -60,7 +60,7 @@
 		is := is.New(t)
 		want := wire.Locate{ID: 9, Keys: []flow.Key{key, key}}
 
-		got, err := wire.ParseLocate(body(t, want.Append(nil), wire.KindLocate))
+		got, err := wire.ParseLocate(splitBody(t, want.Append(nil), wire.KindLocate))
 		is.NoErr(err)
 		is.Equal(got, want)
 	})
@@ -69,7 +69,7 @@
 		is := is.New(t)
 		want := wire.Located{ID: 9, Answers: []flow.Answer{flow.Held, flow.Absent}}
 
-		got, err := wire.ParseLocated(body(t, want.Append(nil), wire.KindLocated))
+		got, err := wire.ParseLocated(splitBody(t, want.Append(nil), wire.KindLocated))
 		is.NoErr(err)
 		is.Equal(got, want)
 	})
