--- a/internal/transport/frag/frag.go
+++ b/internal/transport/frag/frag.go
@@ -1,7 +1,7 @@
-// Package frag carries messages between processes over UDP. A message that
-// does not fit into one datagram is sent in fragments. Messages may be lost,
-// repeated or reordered; the protocols above tolerate that, so there is no
-// connection whose silence would have to be noticed.
+// Package frag sends messages between processes over UDP. A message that does
+// not fit into one datagram is sent in fragments. Messages may be lost,
+// duplicated or reordered; the protocols above tolerate that, so there are no
+// connections that would have to be checked for liveness.
 //
 // # Usage
 //
@@ -10,7 +10,7 @@
 //	conn.Send(destination, message)
 //
 // The message passed to the handler is valid until the handler returns. There
-// is no encryption: the network between the instances has to be private.
+// is no encryption, so the network between the instances has to be private.
 package frag
 
 import (
@@ -27,29 +27,30 @@
 )
 
 const (
-	// MaxMessageBytes bounds a message, and so what a sender can make a
-	// receiver store.
+	// MaxMessageBytes is the maximum size of a message. It limits the memory
+	// that a sender can make a receiver allocate for one message.
 	MaxMessageBytes = maxFragments * fragmentBytes
 
-	// fragmentBytes is the payload of a datagram. With the headers it stays
-	// below the 1,280 bytes that every IP network carries unfragmented.
+	// fragmentBytes is the maximum payload of a datagram. With the headers it
+	// stays below 1,280 bytes, the size that every IP network carries
+	// unfragmented.
 	fragmentBytes = 1200
 
 	maxFragments = 1024
 
-	// maxPartial bounds the messages of which only a part has arrived.
-	maxPartial = 64
+	// maxPartialMessages limits the messages that wait for missing fragments.
+	maxPartialMessages = 64
 
-	// partialLifetime is several round trips between regions; later fragments
-	// belong to a message that its sender has given up.
-	partialLifetime = 2 * time.Second
+	// partialTimeout is several round trips between regions. By then, the sender
+	// has given up the message.
+	partialTimeout = 2 * time.Second
 
-	// The first byte of a datagram.
-	whole    = 0
-	fragment = 1
+	// The types of datagrams, in the first byte.
+	typeWhole    = 0
+	typeFragment = 1
 
-	// kind, message ID, fragment number, number of fragments.
-	fragmentHeader = 1 + 4 + 2 + 2
+	// Type, message ID, fragment number, number of fragments.
+	fragmentHeaderBytes = 1 + 4 + 2 + 2
 )
 
 // Kind classifies an Error.
@@ -57,9 +58,9 @@
 
 // The kinds of errors of this package.
 const (
-	KindListen   Kind = "listen"    // the address cannot be opened
+	KindListen   Kind = "listen"    // the socket cannot be opened
 	KindTooLarge Kind = "too large" // the message exceeds MaxMessageBytes
-	KindSend     Kind = "send"      // the system refused a datagram
+	KindSend     Kind = "send"      // the system call for a datagram failed
 )
 
 // Error is the error type of this package.
@@ -69,7 +70,7 @@
 	return failure.New("frag", operation, kind, err)
 }
 
-// Handler handles a message from another process.
+// Handler handles a message that another process sent.
 type Handler func(from netip.AddrPort, message []byte)
 
 // Conn sends and receives messages. Send is safe for concurrent use.
@@ -79,25 +80,25 @@
 	dropped atomic.Uint64
 	buffers sync.Pool
 
-	partial map[partialKey]*partial // used by Serve only
+	partials map[partialKey]*partialMessage // used by Serve only
 }
 
-// buffer holds one datagram that is sent.
-type buffer [fragmentHeader + fragmentBytes]byte
+// buffer holds one outgoing datagram.
+type buffer [fragmentHeaderBytes + fragmentBytes]byte
 
 type partialKey struct {
 	from netip.AddrPort
 	id   uint32
 }
 
-type partial struct {
-	parts   [][]byte
-	missing int
-	size    int
-	begun   time.Time
+type partialMessage struct {
+	parts     [][]byte
+	missing   int
+	size      int
+	startedAt time.Time
 }
 
-// Listen opens a UDP address.
+// Listen opens a socket on a UDP address.
 func Listen(address netip.AddrPort, logger *slog.Logger) (*Conn, error) {
 	opened, err := socket.Listen(address, logger)
 	if err != nil {
@@ -105,7 +106,7 @@
 	}
 
 	return &Conn{
-		socket: opened, partial: make(map[partialKey]*partial),
+		socket: opened, partials: make(map[partialKey]*partialMessage),
 		buffers: sync.Pool{New: func() any { return new(buffer) }},
 	}, nil
 }
@@ -113,7 +114,8 @@
 // Address returns the local address.
 func (c *Conn) Address() netip.AddrPort { return c.socket.Address() }
 
-// Dropped returns the number of datagrams that were no part of a message.
+// Dropped returns the number of received datagrams that do not belong to a valid
+// message.
 func (c *Conn) Dropped() uint64 { return c.dropped.Load() }
 
 // Close ends Serve.
@@ -131,9 +133,9 @@
 // receive returns the message that a datagram completes, or nil.
 func (c *Conn) receive(from netip.AddrPort, datagram []byte) []byte {
 	switch {
-	case len(datagram) > 1 && datagram[0] == whole:
+	case len(datagram) > 1 && datagram[0] == typeWhole:
 		return datagram[1:]
-	case len(datagram) > fragmentHeader && datagram[0] == fragment:
+	case len(datagram) > fragmentHeaderBytes && datagram[0] == typeFragment:
 		return c.assemble(from, datagram[1:])
 	default:
 		c.dropped.Add(1)
@@ -148,70 +150,71 @@
 	count := int(binary.LittleEndian.Uint16(datagram[6:]))
 	data := datagram[8:]
 
-	known := c.partial[key]
-	if known == nil && count <= maxFragments {
-		c.expire()
+	pending := c.partials[key]
+	if pending == nil && count <= maxFragments {
+		c.evictPartials()
 
-		known = &partial{parts: make([][]byte, count), missing: count, begun: time.Now()}
-		c.partial[key] = known
+		pending = &partialMessage{parts: make([][]byte, count), missing: count, startedAt: time.Now()}
+		c.partials[key] = pending
 	}
 
-	if known == nil || count != len(known.parts) || number >= count || len(data) > fragmentBytes {
+	if pending == nil || count != len(pending.parts) || number >= count || len(data) > fragmentBytes {
 		c.dropped.Add(1)
 
 		return nil
 	}
 
-	if known.parts[number] != nil {
+	if pending.parts[number] != nil {
 		return nil
 	}
 
-	known.parts[number] = append(make([]byte, 0, len(data)), data...)
-	known.missing--
-	known.size += len(data)
+	pending.parts[number] = append(make([]byte, 0, len(data)), data...)
+	pending.missing--
+	pending.size += len(data)
 
-	if known.missing > 0 {
+	if pending.missing > 0 {
 		return nil
 	}
 
-	delete(c.partial, key)
+	delete(c.partials, key)
 
-	message := make([]byte, 0, known.size)
-	for _, part := range known.parts {
+	message := make([]byte, 0, pending.size)
+	for _, part := range pending.parts {
 		message = append(message, part...)
 	}
 
 	return message
 }
 
-// expire makes room for one more partial message.
-func (c *Conn) expire() {
+// evictPartials makes room for one more partial message. It deletes those that
+// have timed out, and the oldest if there are still too many.
+func (c *Conn) evictPartials() {
 	now := time.Now()
 
 	var (
-		oldest partialKey
-		begun  time.Time
+		oldestKey   partialKey
+		oldestStart time.Time
 	)
 
-	for key, known := range c.partial {
-		if now.Sub(known.begun) > partialLifetime {
-			delete(c.partial, key)
+	for key, pending := range c.partials {
+		if now.Sub(pending.startedAt) > partialTimeout {
+			delete(c.partials, key)
 
 			continue
 		}
 
-		if begun.IsZero() || known.begun.Before(begun) {
-			oldest, begun = key, known.begun
+		if oldestStart.IsZero() || pending.startedAt.Before(oldestStart) {
+			oldestKey, oldestStart = key, pending.startedAt
 		}
 	}
 
-	if len(c.partial) >= maxPartial {
-		delete(c.partial, oldest)
+	if len(c.partials) >= maxPartialMessages {
+		delete(c.partials, oldestKey)
 	}
 }
 
-// Send sends a message. An error means that the message did not leave; that it
-// left does not mean that it arrives.
+// Send sends a message. An error means that it was not sent completely. Without
+// an error it may still be lost.
 func (c *Conn) Send(to netip.AddrPort, message []byte) error {
 	if len(message) > MaxMessageBytes {
 		return newError("send", KindTooLarge, fmt.Errorf("%d bytes, at most %d are allowed", len(message), MaxMessageBytes))
@@ -221,14 +224,14 @@
 	defer c.buffers.Put(datagram)
 
 	if len(message) <= fragmentBytes {
-		return c.write(to, append(append(datagram[:0], whole), message...))
+		return c.write(to, append(append(datagram[:0], typeWhole), message...))
 	}
 
 	id := c.nextID.Add(1)
 	count := (len(message) + fragmentBytes - 1) / fragmentBytes
 
 	for number := range count {
-		part := append(datagram[:0], fragment) //nolint:gocritic // the buffer is used again
+		part := append(datagram[:0], typeFragment) //nolint:gocritic // the buffer is reused
 		part = binary.LittleEndian.AppendUint32(part, id)
 		part = binary.LittleEndian.AppendUint16(part, uint16(number))
 		part = binary.LittleEndian.AppendUint16(part, uint16(count))
--- a/internal/transport/frag/frag_test.go
+++ b/internal/transport/frag/frag_test.go
@@ -24,7 +24,8 @@
 	return conn
 }
 
-func received(conn *frag.Conn) <-chan []byte {
+// serve returns a channel of the messages that conn receives.
+func serve(conn *frag.Conn) <-chan []byte {
 	messages := make(chan []byte, 16)
 
 	go conn.Serve(func(_ netip.AddrPort, message []byte) { messages <- bytes.Clone(message) })
@@ -32,11 +33,12 @@
 	return messages
 }
 
-// TestSend guards against messages that arrive changed, whatever their size.
+// TestSend guards against messages that are corrupted by fragmentation, and
+// against sending one that is too large.
 func TestSend(t *testing.T) {
 	is := is.New(t)
 	sender, receiver := listen(t), listen(t)
-	messages := received(receiver)
+	messages := serve(receiver)
 
 	for _, size := range []int{1, 1200, 1201, 50_000} {
 		message := bytes.Repeat([]byte{1, 2, 3, 5, 7}, size)[:size]
@@ -47,22 +49,22 @@
 	is.True(sender.Send(receiver.Address(), make([]byte, frag.MaxMessageBytes+1)) != nil)
 }
 
-// TestGarbage guards against datagrams of strangers that stop the receiver or
-// are taken for messages.
+// TestGarbage guards against malformed datagrams that stop the receiver or are
+// delivered as messages.
 func TestGarbage(t *testing.T) {
 	is := is.New(t)
 	sender, receiver := listen(t), listen(t)
-	messages := received(receiver)
+	messages := serve(receiver)
 
-	stranger, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(receiver.Address()))
+	rawConn, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(receiver.Address()))
 	is.NoErr(err)
 
-	defer stranger.Close()
+	defer rawConn.Close()
 
 	for _, datagram := range [][]byte{
 		{}, {0}, {9, 9, 9}, {1, 0, 0}, {1, 0, 0, 0, 0, 9, 0, 2, 0, 1}, {1, 0, 0, 0, 0, 0, 0, 255, 255, 1},
 	} {
-		_, err := stranger.Write(datagram)
+		_, err := rawConn.Write(datagram)
 		is.NoErr(err)
 	}
 
