--- a/internal/transport/socket/socket.go
+++ b/internal/transport/socket/socket.go
@@ -1,6 +1,6 @@
-// Package socket receives and sends single UDP datagrams. Package udp does so in
-// batches, which pays off from thousands of datagrams a second; the instances of
-// pass-through services have hundreds and little memory.
+// Package socket receives and sends UDP datagrams one at a time. Package udp does
+// so in batches, which pays off at thousands of datagrams a second; the instances
+// of pass-through services handle hundreds and have little memory.
 //
 // # Usage
 //
@@ -22,11 +22,11 @@
 )
 
 const (
-	// receiveBuffer holds 80 ms of a link of 100 Mbit/s.
-	receiveBuffer = 1 << 20
+	// receiveBufferBytes holds 80 ms of traffic at 100 Mbit/s.
+	receiveBufferBytes = 1 << 20
 
-	// maxDatagram is the largest datagram that IPv4 carries.
-	maxDatagram = 64 << 10
+	// maxDatagramBytes is the maximum size of an IPv4 datagram.
+	maxDatagramBytes = 64 << 10
 )
 
 // Kind classifies an Error.
@@ -34,8 +34,8 @@
 
 // The kinds of errors of this package.
 const (
-	KindListen Kind = "listen" // the address cannot be opened
-	KindSend   Kind = "send"   // the system refused a datagram
+	KindListen Kind = "listen" // the socket cannot be opened
+	KindSend   Kind = "send"   // the system call for a datagram failed
 )
 
 // Error is the error type of this package.
@@ -48,15 +48,15 @@
 // Socket is a UDP socket. Send is safe for concurrent use.
 type Socket struct{ conn *net.UDPConn }
 
-// Listen opens an IPv4 address.
+// Listen opens a socket on an IPv4 address.
 func Listen(address netip.AddrPort, logger *slog.Logger) (*Socket, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, newError("listen on "+address.String(), KindListen, err)
 	}
 
-	if err := conn.SetReadBuffer(receiveBuffer); err != nil {
-		logger.Warn("the receive buffer keeps its default size", "error", err)
+	if err := conn.SetReadBuffer(receiveBufferBytes); err != nil {
+		logger.Warn("cannot set the size of the receive buffer, keeping the default", "error", err)
 	}
 
 	return &Socket{conn: conn}, nil
@@ -69,7 +69,7 @@
 
 // Serve calls the handler with each datagram until the socket is closed.
 func (s *Socket) Serve(handle func(from netip.AddrPort, datagram []byte)) {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 
 	for {
 		count, from, err := s.conn.ReadFromUDPAddrPort(buffer)
@@ -77,15 +77,15 @@
 			return
 		}
 
-		// Other errors belong to datagrams that were sent and not delivered; the
-		// protocols above notice that by the missing answer.
+		// Other errors report that a datagram sent earlier was not delivered. The
+		// protocols above detect that by the missing reply.
 		if err == nil {
 			handle(from, buffer[:count])
 		}
 	}
 }
 
-// Send sends a datagram. That it left does not mean that it arrives.
+// Send sends a datagram. It may be lost although Send returns no error.
 func (s *Socket) Send(datagram []byte, to netip.AddrPort) error {
 	if _, err := s.conn.WriteToUDPAddrPort(datagram, to); err != nil {
 		return newError("send to "+to.String(), KindSend, err)
--- a/internal/transport/socket/socket_test.go
+++ b/internal/transport/socket/socket_test.go
@@ -11,38 +11,39 @@
 	"jayspindle/internal/transport/socket"
 )
 
-// TestServe guards against a socket that stops receiving after it has sent to
-// an address where nobody listens, and against one that does not end.
+// TestServe guards against a socket that stops receiving after it has sent to an
+// address without a listener, and against a Serve that does not return after
+// Close.
 func TestServe(t *testing.T) {
 	is := is.New(t)
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
 
-	first, err := socket.Listen(loopback, slog.New(slog.DiscardHandler))
+	sender, err := socket.Listen(loopback, slog.New(slog.DiscardHandler))
 	is.NoErr(err)
 
-	second, err := socket.Listen(loopback, slog.New(slog.DiscardHandler))
+	receiver, err := socket.Listen(loopback, slog.New(slog.DiscardHandler))
 	is.NoErr(err)
 
-	gone, err := socket.Listen(loopback, slog.New(slog.DiscardHandler))
+	closed, err := socket.Listen(loopback, slog.New(slog.DiscardHandler))
 	is.NoErr(err)
-	is.NoErr(gone.Close())
+	is.NoErr(closed.Close())
 
-	received, ended := make(chan []byte, 1), make(chan struct{})
+	received, served := make(chan []byte, 1), make(chan struct{})
 
 	go func() {
-		defer close(ended)
+		defer close(served)
 
-		second.Serve(func(_ netip.AddrPort, datagram []byte) { received <- bytes.Clone(datagram) })
+		receiver.Serve(func(_ netip.AddrPort, datagram []byte) { received <- bytes.Clone(datagram) })
 	}()
 
-	is.NoErr(second.Send([]byte("nobody"), gone.Address()))
-	is.NoErr(first.Send([]byte("hello"), second.Address()))
+	is.NoErr(receiver.Send([]byte("nobody"), closed.Address()))
+	is.NoErr(sender.Send([]byte("hello"), receiver.Address()))
 	is.Equal(string(<-received), "hello")
 
-	is.NoErr(second.Close())
-	<-ended
+	is.NoErr(receiver.Close())
+	<-served
 
-	_, err = socket.Listen(first.Address(), slog.New(slog.DiscardHandler))
+	_, err = socket.Listen(sender.Address(), slog.New(slog.DiscardHandler))
 	is.True(err != nil) // in use
-	is.NoErr(first.Close())
+	is.NoErr(sender.Close())
 }
