--- a/internal/transport/udp/batch.go
+++ b/internal/transport/udp/batch.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// BatchConfig is the shape of the batches of a pool.
+// BatchConfig configures the batches of a pool.
 type BatchConfig struct {
 	Size     int // datagrams in a batch
-	Length   int // longest datagram, in bytes
-	Headroom int // bytes kept free in front of each datagram, for a header
+	Length   int // maximum length of a datagram, in bytes
+	Headroom int // bytes reserved in front of each datagram, for a header
 }
 
 // Pool is a fixed set of batches that sockets share, so that memory does not
@@ -21,8 +21,8 @@
 	free chan *Batch
 }
 
-// NewPool returns a pool of count batches. A socket that finds the pool empty
-// waits for a batch, and datagrams wait in the buffer of the socket.
+// NewPool returns a pool of count batches. If the pool is empty, a socket waits
+// for a batch while datagrams queue in its receive buffer.
 func NewPool(count int, config BatchConfig) *Pool {
 	pool := &Pool{free: make(chan *Batch, count)}
 	for range count {
@@ -92,14 +92,14 @@
 // Truncated reports whether the i-th datagram was longer than the slot.
 func (b *Batch) Truncated(i int) bool { return b.headers[i].Hdr.Flags&unix.MSG_TRUNC != 0 }
 
-// receiver receives batches for one goroutine. The bound method is kept, since
-// binding it for each call would allocate.
+// receiver receives batches for one goroutine. It stores the method value
+// readOnce, because creating one for each call would allocate.
 type receiver struct {
 	socket *Socket
 	pool   *Pool
 	batch  *Batch
 	errno  syscall.Errno
-	woken  bool
+	waited bool
 	read   func(uintptr) bool
 }
 
@@ -110,9 +110,9 @@
 	return receiver
 }
 
-// receive waits for at least one datagram.
+// receive waits for at least one datagram and returns a batch of those available.
 func (r *receiver) receive() (*Batch, error) {
-	r.batch, r.errno, r.woken = nil, 0, false
+	r.batch, r.errno, r.waited = nil, 0, false
 
 	if err := r.socket.raw.Read(r.read); err != nil {
 		return nil, err
@@ -125,8 +125,8 @@
 	return r.batch, nil
 }
 
-// readOnce takes a batch only while it reads. It reports false to wait until
-// the socket is readable.
+// readOnce receives one batch. It returns false to wait until the socket is
+// readable, and holds no batch of the pool while it waits.
 func (r *receiver) readOnce(fd uintptr) bool {
 	batch := r.pool.get()
 
@@ -139,8 +139,8 @@
 			return true
 		}
 
-		if unreachable(errno) {
-			r.socket.refused.drain(fd)
+		if isDestinationError(errno) {
+			r.socket.errorQueue.drain(fd)
 
 			continue
 		}
@@ -153,21 +153,21 @@
 			return true
 		}
 
-		// A wake-up without a datagram can be an entry in the error queue
-		// whose pending error a sender has consumed.
-		if r.woken {
-			r.socket.refused.drain(fd)
+		// A wake-up without a datagram can be caused by an entry in the error
+		// queue, if a sender has already consumed the socket's pending error.
+		if r.waited {
+			r.socket.errorQueue.drain(fd)
 		}
 
-		r.woken = true
+		r.waited = true
 
 		return false
 	}
 }
 
-// unreachable reports whether the error concerns an earlier datagram to some
-// destination and not the socket.
-func unreachable(errno syscall.Errno) bool {
+// isDestinationError reports whether an error concerns the destination of an
+// earlier datagram and not the socket.
+func isDestinationError(errno syscall.Errno) bool {
 	switch errno {
 	case unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EHOSTDOWN, unix.ENETDOWN,
 		unix.EMSGSIZE, unix.EPROTO, unix.ENOPROTOOPT, unix.EACCES, unix.EOPNOTSUPP:
--- a/internal/transport/udp/outbox.go
+++ b/internal/transport/udp/outbox.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxTries bounds the tries to send one datagram. Each refusal of an earlier
-// datagram that arrives in between costs one.
-const maxTries = 4
+// maxSendAttempts limits the attempts to send one datagram. An asynchronous error
+// of an earlier datagram that arrives in between uses up one attempt.
+const maxSendAttempts = 4
 
 // Outbox collects datagrams for any number of sockets and sends those of each
 // socket together. It belongs to one goroutine.
@@ -19,13 +19,13 @@
 	headers []unix.Mmsghdr
 	iovecs  []unix.Iovec
 	names   []sockaddr
-	group   []unix.Mmsghdr // the datagrams of one socket, contiguous
+	group   []unix.Mmsghdr // headers of the datagrams of one socket, copied to be contiguous
 
-	pending []unix.Mmsghdr
-	current *Socket
-	failed  int
-	tries   int // of the first pending datagram
-	write   func(uintptr) bool
+	pending  []unix.Mmsghdr
+	current  *Socket
+	failed   int
+	attempts int // for the first pending datagram
+	write    func(uintptr) bool
 }
 
 // NewOutbox returns an outbox for up to size datagrams between flushes.
@@ -37,17 +37,17 @@
 		names:   make([]sockaddr, size),
 		group:   make([]unix.Mmsghdr, 0, size),
 	}
-	outbox.write = outbox.writeSome
+	outbox.write = outbox.writePending
 
 	return outbox
 }
 
-// Len returns the number of datagrams that wait for Flush.
+// Len returns the number of datagrams that have not been flushed.
 func (o *Outbox) Len() int { return o.count }
 
-// Add puts a datagram into the outbox, which flushes when it is full. The
-// bytes must not change before Flush. It reports false if the datagram is
-// empty or the socket cannot send to the family of the address.
+// Add adds a datagram to the outbox, and flushes the outbox first if it is full.
+// The data must not change before Flush. Add reports false if the datagram is
+// empty or the address is not of the socket's family.
 func (o *Outbox) Add(socket *Socket, data []byte, to netip.AddrPort) bool {
 	if o.count == len(o.sockets) {
 		o.Flush()
@@ -72,7 +72,7 @@
 	return true
 }
 
-// Flush sends everything in the outbox, in order for each socket. It returns
+// Flush sends all datagrams in the outbox, in order for each socket. It returns
 // the number of datagrams that could not be sent since the last call.
 func (o *Outbox) Flush() int {
 	for first := 0; first < o.count; first++ {
@@ -87,27 +87,27 @@
 	return failed
 }
 
-// collect takes the datagrams of a socket out of the outbox. It copies their
-// headers only if other sockets have datagrams among them.
+// collect removes the datagrams of a socket from the outbox. It copies their
+// headers only if datagrams of other sockets are in between.
 func (o *Outbox) collect(socket *Socket, first int) []unix.Mmsghdr {
-	last := first
-	for last < o.count && o.sockets[last] == socket {
-		o.sockets[last] = nil
-		last++
+	end := first
+	for end < o.count && o.sockets[end] == socket {
+		o.sockets[end] = nil
+		end++
 	}
 
-	rest := last
-	for rest < o.count && o.sockets[rest] != socket {
-		rest++
+	next := end
+	for next < o.count && o.sockets[next] != socket {
+		next++
 	}
 
-	if rest == o.count {
-		return o.headers[first:last]
+	if next == o.count {
+		return o.headers[first:end]
 	}
 
-	o.group = append(o.group[:0], o.headers[first:last]...)
+	o.group = append(o.group[:0], o.headers[first:end]...)
 
-	for i := rest; i < o.count; i++ {
+	for i := next; i < o.count; i++ {
 		if o.sockets[i] == socket {
 			o.group = append(o.group, o.headers[i])
 			o.sockets[i] = nil
@@ -118,27 +118,28 @@
 }
 
 func (o *Outbox) send(socket *Socket, headers []unix.Mmsghdr) {
-	o.current, o.pending, o.tries = socket, headers, 0
+	o.current, o.pending, o.attempts = socket, headers, 0
 
-	// The only errors are those of a closed socket.
+	// Write fails only if the socket is closed.
 	if err := socket.raw.Write(o.write); err != nil {
 		o.failed += len(o.pending)
 	}
 }
 
-// writeSome sends until nothing is pending. It reports false to wait until the
+// writePending sends all pending datagrams. It returns false to wait until the
 // socket is writable.
-func (o *Outbox) writeSome(fd uintptr) bool {
+func (o *Outbox) writePending(fd uintptr) bool {
 	for len(o.pending) > 0 {
 		n, errno := sendBatch(fd, o.pending)
 		o.pending = o.pending[n:]
 
 		if errno == 0 {
-			o.tries = 0
+			o.attempts = 0
 
-			// A short count hides an error that the system call consumed.
+			// If sendmmsg sends fewer datagrams, it has consumed the error
+			// that stopped it.
 			if len(o.pending) > 0 {
-				o.current.refused.drain(fd)
+				o.current.errorQueue.drain(fd)
 			}
 
 			continue
@@ -148,24 +149,24 @@
 			return false
 		}
 
-		o.recover(fd, errno)
+		o.handleSendError(fd, errno)
 	}
 
 	return true
 }
 
-// recover handles an error of the first pending datagram. The error may belong
-// to an earlier one, so the datagram is tried again before it is dropped.
-func (o *Outbox) recover(fd uintptr, errno syscall.Errno) {
-	if unreachable(errno) {
-		o.current.refused.drain(fd)
+// handleSendError handles an error of the first pending datagram. The error may
+// belong to an earlier one, so the datagram is retried before it is dropped.
+func (o *Outbox) handleSendError(fd uintptr, errno syscall.Errno) {
+	if isDestinationError(errno) {
+		o.current.errorQueue.drain(fd)
 	}
 
-	o.tries++
+	o.attempts++
 
-	if o.tries == maxTries {
+	if o.attempts == maxSendAttempts {
 		o.pending = o.pending[1:]
 		o.failed++
-		o.tries = 0
+		o.attempts = 0
 	}
 }
--- a/internal/transport/udp/socket.go
+++ b/internal/transport/udp/socket.go
@@ -1,5 +1,5 @@
 // Package udp receives and sends UDP datagrams in batches, with recvmmsg and
-// sendmmsg, and allocates nothing per datagram.
+// sendmmsg, without allocations per datagram.
 //
 // # Usage
 //
@@ -8,8 +8,8 @@
 //	// One goroutine for each socket:
 //	outbox := udp.NewOutbox(64)
 //	err = sockets[i].Serve(pool, func(batch *udp.Batch) {
-//		for i := range batch.Len() {
-//			outbox.Add(data, batch.Framed(i), destination)
+//		for j := range batch.Len() {
+//			outbox.Add(data, batch.Framed(j), destination)
 //		}
 //		outbox.Flush()
 //	})
@@ -32,30 +32,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Options configures the sockets of one address.
+// Options configures the sockets of an address.
 type Options struct {
-	Sockets       int // with SO_REUSEPORT if more than 1; 0 means 1
-	ReceiveBuffer int // bytes; 0 keeps the default of the system
-	SendBuffer    int // bytes; 0 keeps the default of the system
+	Sockets       int // number of sockets, with SO_REUSEPORT if more than 1; 0 means 1
+	ReceiveBuffer int // bytes; 0 keeps the system default
+	SendBuffer    int // bytes; 0 keeps the system default
 
-	// Refused is called with each destination that a datagram could not reach
-	// and the cause, for example ECONNREFUSED. Any goroutine that uses the
-	// socket may call it, one at a time for each socket.
+	// Refused is called with each unreachable destination of a datagram and the
+	// cause, for example ECONNREFUSED. It is called by any goroutine that uses
+	// the socket, but not concurrently for one socket.
 	Refused func(destination netip.AddrPort, cause syscall.Errno)
 }
 
 // Socket is an unconnected UDP socket of one address family. It is safe for
 // concurrent use.
 type Socket struct {
-	conn    *net.UDPConn
-	raw     syscall.RawConn
-	address netip.AddrPort
-	family  uint16
-	refused refusals
+	conn       *net.UDPConn
+	raw        syscall.RawConn
+	address    netip.AddrPort
+	family     uint16
+	errorQueue errorQueue
 }
 
-// Listen opens the sockets of an address. With port 0 all sockets share the
-// port that the system picked for the first.
+// Listen opens the sockets of an address. With port 0, all sockets share the
+// port that the system assigned to the first.
 func Listen(address netip.AddrPort, options Options) ([]*Socket, error) {
 	count := max(options.Sockets, 1)
 	sockets := make([]*Socket, 0, count)
@@ -84,7 +84,7 @@
 	}
 
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return control(raw, family, shared)
+		return setPreBindOptions(raw, family, shared)
 	}}
 
 	opened, err := config.ListenPacket(context.Background(), network, address.String())
@@ -98,7 +98,7 @@
 	}
 
 	socket := &Socket{conn: conn, family: family}
-	if err := socket.setUp(options); err != nil {
+	if err := socket.configure(options); err != nil {
 		_ = conn.Close()
 
 		return nil, errors.Trace(err)
@@ -107,39 +107,40 @@
 	return socket, nil
 }
 
-// control sets the options that have to be in place before the socket is bound.
-func control(raw syscall.RawConn, family uint16, shared bool) error {
+// setPreBindOptions sets the options that have to be set before the socket is
+// bound.
+func setPreBindOptions(raw syscall.RawConn, family uint16, shared bool) error {
 	level, option := unix.IPPROTO_IP, unix.IP_RECVERR
 	if family == unix.AF_INET6 {
 		level, option = unix.IPPROTO_IPV6, unix.IPV6_RECVERR
 	}
 
-	var cause error
+	var setErr error
 
 	err := raw.Control(func(fd uintptr) {
 		// Without this option, the system reports unreachable destinations
 		// only on connected sockets.
-		cause = unix.SetsockoptInt(int(fd), level, option, 1)
-		if cause == nil && shared {
-			cause = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		setErr = unix.SetsockoptInt(int(fd), level, option, 1)
+		if setErr == nil && shared {
+			setErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		}
 	})
 	if err != nil {
 		return err
 	}
 
-	return os.NewSyscallError("setsockopt", cause)
+	return os.NewSyscallError("setsockopt", setErr)
 }
 
-func (s *Socket) setUp(options Options) error {
+func (s *Socket) configure(options Options) error {
 	raw, err := s.conn.SyscallConn()
 	if err != nil {
 		return errors.Trace(err)
 	}
 
 	s.raw = raw
-	s.refused.report = options.Refused
-	s.refused.family = s.family
+	s.errorQueue.report = options.Refused
+	s.errorQueue.family = s.family
 
 	if options.ReceiveBuffer > 0 {
 		if err := s.conn.SetReadBuffer(options.ReceiveBuffer); err != nil {
@@ -187,9 +188,9 @@
 	}
 }
 
-// Stop ends Serve after the batch it is handling. The socket can still send.
+// Stop ends Serve after the batch that it is handling. The socket can still send.
 func (s *Socket) Stop() error {
-	if err := s.conn.SetReadDeadline(past); err != nil {
+	if err := s.conn.SetReadDeadline(pastDeadline); err != nil {
 		return newError("stop", KindClose, err)
 	}
 
@@ -205,37 +206,37 @@
 	return nil
 }
 
-// refusals reads the error queue of a socket into fixed buffers.
-type refusals struct {
+// errorQueue reads the error queue of a socket into preallocated buffers.
+type errorQueue struct {
 	mutex   sync.Mutex
 	report  func(netip.AddrPort, syscall.Errno)
 	family  uint16
 	header  unix.Msghdr
 	iovec   unix.Iovec
 	name    sockaddr
-	payload [64]byte // the start of the datagram that was not delivered; not used
+	payload [64]byte // start of the undelivered datagram, ignored
 	control [256]byte
 }
 
-// drain reports every queued error. It returns at once if there is none.
-func (r *refusals) drain(fd uintptr) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
+// drain reports every queued error. It does not wait for one.
+func (q *errorQueue) drain(fd uintptr) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
 
 	for {
-		r.iovec.Base = &r.payload[0]
-		r.iovec.SetLen(len(r.payload))
-		r.header = unix.Msghdr{Name: &r.name[0], Namelen: uint32(len(r.name)), Iov: &r.iovec, Control: &r.control[0]}
-		r.header.SetIovlen(1)
-		r.header.SetControllen(len(r.control))
+		q.iovec.Base = &q.payload[0]
+		q.iovec.SetLen(len(q.payload))
+		q.header = unix.Msghdr{Name: &q.name[0], Namelen: uint32(len(q.name)), Iov: &q.iovec, Control: &q.control[0]}
+		q.header.SetIovlen(1)
+		q.header.SetControllen(len(q.control))
 
-		if errno := receiveError(fd, &r.header); errno != 0 {
+		if errno := receiveError(fd, &q.header); errno != 0 {
 			return
 		}
 
-		cause, ok := extendedError(r.control[:r.header.Controllen], r.family)
-		if ok && r.report != nil {
-			r.report(r.name.decode(), cause)
+		cause, ok := extendedError(q.control[:q.header.Controllen], q.family)
+		if ok && q.report != nil {
+			q.report(q.name.decode(), cause)
 		}
 	}
 }
--- a/internal/transport/udp/syscalls.go
+++ b/internal/transport/udp/syscalls.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// past is a deadline that has passed. It makes a pending receive return.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline in the past. It makes a pending receive return.
+var pastDeadline = time.Unix(1, 0)
 
 // sockaddr holds a struct sockaddr_in or sockaddr_in6.
 type sockaddr [unix.SizeofSockaddrInet6]byte
@@ -23,7 +23,7 @@
 	offsetAddr6 = 8
 )
 
-// decode returns the address without zone; IPv4 is unmapped.
+// decode returns the address without its zone. IPv4-mapped addresses are unmapped.
 func (s *sockaddr) decode() netip.AddrPort {
 	port := binary.BigEndian.Uint16(s[offsetPort:])
 
@@ -38,7 +38,7 @@
 }
 
 // encode writes the address for a socket of the given family. It returns the
-// length, or 0 if a socket of that family cannot send to the address.
+// length, or 0 if the address is not of that family.
 func (s *sockaddr) encode(address netip.AddrPort, family uint16) uint32 {
 	addr := address.Addr().Unmap()
 	if !addr.IsValid() || addr.Is4() != (family == unix.AF_INET) {
@@ -70,7 +70,7 @@
 	return batchCall(unix.SYS_SENDMMSG, fd, headers)
 }
 
-// batchCall issues recvmmsg or sendmmsg, again if a signal interrupted it.
+// batchCall issues recvmmsg or sendmmsg, and repeats it if a signal interrupted it.
 func batchCall(trap, fd uintptr, headers []unix.Mmsghdr) (int, syscall.Errno) {
 	for {
 		first := unsafe.Pointer(unsafe.SliceData(headers))
@@ -88,7 +88,7 @@
 	}
 }
 
-// receiveError reads one entry of the error queue.
+// receiveError reads one entry of a socket's error queue.
 func receiveError(fd uintptr, header *unix.Msghdr) syscall.Errno {
 	_, _, errno := unix.Syscall(unix.SYS_RECVMSG, fd, uintptr(unsafe.Pointer(header)),
 		unix.MSG_ERRQUEUE|unix.MSG_DONTWAIT)
@@ -96,8 +96,8 @@
 	return errno
 }
 
-// extendedError finds the error number of a struct sock_extended_err, which it
-// starts with, in control messages (ip(7), IP_RECVERR).
+// extendedError returns the error number from the control message that holds a
+// struct sock_extended_err, of which it is the first field (ip(7), IP_RECVERR).
 func extendedError(control []byte, family uint16) (syscall.Errno, bool) {
 	level, kind := int32(unix.IPPROTO_IP), int32(unix.IP_RECVERR)
 	if family == unix.AF_INET6 {
--- a/internal/transport/udp/udp_test.go
+++ b/internal/transport/udp/udp_test.go
@@ -13,7 +13,7 @@
 	"jayspindle/internal/transport/udp"
 )
 
-var shape = udp.BatchConfig{Size: 16, Length: 1500, Headroom: 48}
+var batchConfig = udp.BatchConfig{Size: 16, Length: 1500, Headroom: 48}
 
 func open(t testing.TB, address string, options udp.Options) []*udp.Socket {
 	t.Helper()
@@ -29,26 +29,26 @@
 	return sockets
 }
 
-// refusals collects what a socket reports.
-type refusals struct {
-	mutex sync.Mutex
-	seen  []netip.AddrPort
+// unreachableRecorder collects the destinations that a socket reports as refused.
+type unreachableRecorder struct {
+	mutex        sync.Mutex
+	destinations []netip.AddrPort
 }
 
-func (r *refusals) add(destination netip.AddrPort, cause syscall.Errno) {
+func (r *unreachableRecorder) record(destination netip.AddrPort, cause syscall.Errno) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 
 	if cause == syscall.ECONNREFUSED {
-		r.seen = append(r.seen, destination)
+		r.destinations = append(r.destinations, destination)
 	}
 }
 
-// echo serves until it has seen a datagram with the text "stop".
+// echo returns each datagram to its sender until it has received "stop".
 func echo(socket *udp.Socket) error {
-	outbox := udp.NewOutbox(shape.Size)
+	outbox := udp.NewOutbox(batchConfig.Size)
 
-	return socket.Serve(udp.NewPool(1, shape), func(batch *udp.Batch) {
+	return socket.Serve(udp.NewPool(1, batchConfig), func(batch *udp.Batch) {
 		for i := range batch.Len() {
 			outbox.Add(socket, batch.Payload(i), batch.Source(i))
 
@@ -61,7 +61,7 @@
 	})
 }
 
-// exchange sends texts to an echo server and returns what came back.
+// exchange sends texts to an echo server and returns the replies.
 func exchange(t *testing.T, client *udp.Socket, server *udp.Socket, texts ...string) []string {
 	t.Helper()
 
@@ -72,16 +72,16 @@
 
 	group.Go(func() { is.New(t).NoErr(echo(server)) })
 
-	outbox := udp.NewOutbox(shape.Size)
+	outbox := udp.NewOutbox(batchConfig.Size)
 	for _, text := range append(texts, "stop") {
 		is.New(t).True(outbox.Add(client, []byte(text), server.Address()))
 	}
 
 	is.New(t).Equal(outbox.Flush(), 0)
-	is.New(t).NoErr(client.Serve(udp.NewPool(1, shape), func(batch *udp.Batch) {
+	is.New(t).NoErr(client.Serve(udp.NewPool(1, batchConfig), func(batch *udp.Batch) {
 		for i := range batch.Len() {
 			is.New(t).Equal(batch.Source(i), server.Address())
-			is.New(t).Equal(len(batch.Framed(i)), shape.Headroom+len(batch.Payload(i)))
+			is.New(t).Equal(len(batch.Framed(i)), batchConfig.Headroom+len(batch.Payload(i)))
 
 			got = append(got, string(batch.Payload(i)))
 		}
@@ -95,8 +95,8 @@
 	return got
 }
 
-// Guards against datagrams that are mixed up, cut or sent to another address
-// in either family, and against a stop that loses the batch in hand.
+// Guards against datagrams that are mixed up, truncated or sent to another address
+// in either family, and against a Stop that loses the batch being handled.
 func TestEcho(t *testing.T) {
 	for _, address := range []string{"127.0.0.1:0", "[::1]:0"} {
 		client := open(t, address, udp.Options{})[0]
@@ -106,24 +106,24 @@
 	}
 }
 
-// Guards against a refused destination that ends the loop, goes unnoticed, or
-// takes datagrams for other destinations with it. Which system call returns
-// the error depends on the place of the datagram within its batch.
+// Guards against a refused destination that ends Serve, is not reported, or causes
+// the loss of datagrams to other destinations. Which system call returns the
+// error depends on the position of the datagram within its batch.
 func TestRefused(t *testing.T) {
 	t.Run("first of its batch", func(t *testing.T) { testRefused(t, 0) })
 	t.Run("last of its batch", func(t *testing.T) { testRefused(t, 1) })
 }
 
-func testRefused(t *testing.T, place int) {
-	var refused refusals
+func testRefused(t *testing.T, position int) {
+	var recorder unreachableRecorder
 
-	gone := open(t, "127.0.0.1:0", udp.Options{})[0]
-	is.New(t).NoErr(gone.Close())
+	closed := open(t, "127.0.0.1:0", udp.Options{})[0]
+	is.New(t).NoErr(closed.Close())
 
-	client := open(t, "127.0.0.1:0", udp.Options{Refused: refused.add})[0]
+	client := open(t, "127.0.0.1:0", udp.Options{Refused: recorder.record})[0]
 	server := open(t, "127.0.0.1:0", udp.Options{})[0]
 	destinations := []netip.AddrPort{server.Address(), server.Address()}
-	destinations[place] = gone.Address()
+	destinations[position] = closed.Address()
 
 	outbox := udp.NewOutbox(len(destinations))
 	for range 5 {
@@ -134,37 +134,37 @@
 
 	is.New(t).Equal(outbox.Flush(), 0)
 	is.New(t).Equal(len(exchange(t, client, server)), 5+1)
-	is.New(t).True(slices.Contains(refused.seen, gone.Address()))
+	is.New(t).True(slices.Contains(recorder.destinations, closed.Address()))
 }
 
-// Guards against an outbox that merges the datagrams of different sockets.
+// Guards against an outbox that sends datagrams from the wrong socket.
 func TestSeveralSockets(t *testing.T) {
 	sockets := open(t, "127.0.0.1:0", udp.Options{Sockets: 3})
 	is.New(t).Equal(sockets[0].Address(), sockets[2].Address())
 
-	others := open(t, "127.0.0.1:0", udp.Options{})
+	other := open(t, "127.0.0.1:0", udp.Options{})
 	server := open(t, "127.0.0.1:0", udp.Options{})[0]
 
-	outbox := udp.NewOutbox(shape.Size)
+	outbox := udp.NewOutbox(batchConfig.Size)
 	for range 3 {
 		outbox.Add(sockets[0], []byte("a"), server.Address())
-		outbox.Add(others[0], []byte("b"), server.Address())
+		outbox.Add(other[0], []byte("b"), server.Address())
 	}
 
 	is.New(t).Equal(outbox.Add(sockets[0], []byte("c"), netip.MustParseAddrPort("[::1]:9")), false)
 	is.New(t).Equal(outbox.Flush(), 0)
 
-	from := map[netip.AddrPort]string{}
+	received := map[netip.AddrPort]string{}
 
-	is.New(t).NoErr(server.Serve(udp.NewPool(1, shape), func(batch *udp.Batch) {
+	is.New(t).NoErr(server.Serve(udp.NewPool(1, batchConfig), func(batch *udp.Batch) {
 		for i := range batch.Len() {
-			from[batch.Source(i)] += string(batch.Payload(i))
+			received[batch.Source(i)] += string(batch.Payload(i))
 		}
 
-		if len(from[sockets[0].Address()])+len(from[others[0].Address()]) == 6 {
+		if len(received[sockets[0].Address()])+len(received[other[0].Address()]) == 6 {
 			_ = server.Stop()
 		}
 	}))
-	is.New(t).Equal(from[sockets[0].Address()], "aaa")
-	is.New(t).Equal(from[others[0].Address()], "bbb")
+	is.New(t).Equal(received[sockets[0].Address()], "aaa")
+	is.New(t).Equal(received[other[0].Address()], "bbb")
 }
