--- a/internal/protocol/connid/connid.go
+++ b/internal/protocol/connid/connid.go
@@ -44,8 +44,9 @@
 	nonceMask         = 1<<48 - 1
 )
 
-// Scratch is the decryption buffer for Open, one for each goroutine. A local array would
-// be allocated on the heap for each call through the cipher's interface.
+// Scratch is the decryption buffer for Open, one for each goroutine. A local
+// array would be allocated on the heap for each call through the cipher's
+// interface.
 type Scratch [aes.BlockSize]byte
 
 // Keys seals connection IDs with the predecessor of the newest fabric key (see
--- a/internal/protocol/control/control_test.go
+++ b/internal/protocol/control/control_test.go
@@ -98,10 +98,10 @@
 			Environment: "e", ChangeID: "c", Author: "a", Document: make([]byte, control.MaxDocument+1),
 		},
 		"no change ID":         &control.Submit{Environment: "e", Author: "a", Document: []byte{1}},
-		"too many renewals":    &control.Renew{Environment: "e", Renewals: make([]control.Renewal, control.MaxRenewals+1)},
+		"renewals":             &control.Renew{Environment: "e", Renewals: make([]control.Renewal, control.MaxRenewals+1)},
 		"chunk after the last": &control.Update{Kind: control.UpdateFull, Chunk: 2, Chunks: 2},
 		"missing public key":   &control.ReplaceOwner{Owner: "a", NewName: "b", ChangeID: "c", Author: "a"},
-		"unknown phase":        &control.Leave{Environment: "e"},
+		"phase":                &control.Leave{Environment: "e"},
 	}
 
 	for name, message := range cases {
