--- a/internal/transport/identity/authority.go
+++ b/internal/transport/identity/authority.go
@@ -19,14 +19,15 @@
 	// InstanceValidity is the lifetime of an instance's certificate.
 	InstanceValidity = 365 * 24 * time.Hour
 
-	// clockSkew is subtracted from the start of validity, because the clocks
-	// of the instances differ.
+	// clockSkew backdates the start of validity, so that an instance whose
+	// clock is behind accepts a new certificate.
 	clockSkew = 5 * time.Minute
 
 	serialBits = 127
 )
 
-// Authority signs the certificates of a deployment.
+// Authority is the certificate authority (CA) that signs the certificates of a
+// deployment.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *PrivateKey
@@ -54,7 +55,9 @@
 		return nil, newError("create authority", KindInvalid, err)
 	}
 
-	if err := writeNew(certificatePath, publicMode, &pem.Block{Type: blockCertificate, Bytes: encoded}); err != nil {
+	if err := createPEMFile(
+		certificatePath, publicFileMode, &pem.Block{Type: pemTypeCertificate, Bytes: encoded},
+	); err != nil {
 		return nil, err
 	}
 
@@ -75,7 +78,7 @@
 
 	if !key.PublicKey().Equal(certificate.PublicKey) {
 		return nil, newError("load authority", KindInvalid,
-			errors.Errorf("%s is not the key of %s", keyPath, certificatePath))
+			errors.Errorf("private key %s does not match certificate %s", keyPath, certificatePath))
 	}
 
 	return &Authority{certificate: certificate, key: key}, nil
@@ -83,25 +86,25 @@
 
 // Issue creates a key and a certificate for an instance and writes both to
 // new files.
-func (a *Authority) Issue(holder Identity, certificatePath, keyPath string, now time.Time) error {
-	if err := holder.Check(); err != nil {
+func (a *Authority) Issue(subject Identity, certificatePath, keyPath string, now time.Time) error {
+	if err := subject.Check(); err != nil {
 		return err
 	}
 
-	template, err := newTemplate(holder.Name, now, InstanceValidity)
+	template, err := newTemplate(subject.Name, now, InstanceValidity)
 	if err != nil {
 		return err
 	}
 
-	template.URIs = []*url.URL{holder.URI()}
+	template.URIs = []*url.URL{subject.URI()}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
 
 	return a.sign("issue", template, certificatePath, keyPath)
 }
 
-// sign creates a key, signs a certificate of the template for it and writes both
-// to new files.
+// sign creates a key, signs a certificate for it from the template, and writes
+// both to new files.
 func (a *Authority) sign(operation string, template *x509.Certificate, certificatePath, keyPath string) error {
 	key, err := CreateKey(keyPath)
 	if err != nil {
@@ -113,7 +116,7 @@
 		return newError(operation, KindInvalid, err)
 	}
 
-	return writeNew(certificatePath, publicMode, &pem.Block{Type: blockCertificate, Bytes: encoded})
+	return createPEMFile(certificatePath, publicFileMode, &pem.Block{Type: pemTypeCertificate, Bytes: encoded})
 }
 
 func newTemplate(name string, now time.Time, validity time.Duration) (*x509.Certificate, error) {
@@ -140,7 +143,8 @@
 	return certificates[0], nil
 }
 
-// loadCertificates reads all certificates of a file, at least one.
+// loadCertificates reads all certificates of a PEM file, which must contain at
+// least one.
 func loadCertificates(path string) ([]*x509.Certificate, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -150,8 +154,8 @@
 	var certificates []*x509.Certificate
 
 	for block, rest := pem.Decode(content); block != nil; block, rest = pem.Decode(rest) {
-		if block.Type != blockCertificate {
-			return nil, newError("read", KindInvalid, errors.Errorf("%s holds a PEM block %q", path, block.Type))
+		if block.Type != pemTypeCertificate {
+			return nil, newError("read", KindInvalid, errors.Errorf("%s contains a PEM block of type %q", path, block.Type))
 		}
 
 		certificate, err := x509.ParseCertificate(block.Bytes)
@@ -163,7 +167,8 @@
 	}
 
 	if len(certificates) == 0 {
-		return nil, newError("read", KindInvalid, errors.Errorf("%s holds no PEM block %q", path, blockCertificate))
+		return nil, newError("read", KindInvalid,
+			errors.Errorf("%s contains no PEM block of type %q", path, pemTypeCertificate))
 	}
 
 	return certificates, nil
--- a/internal/transport/identity/error.go
+++ b/internal/transport/identity/error.go
@@ -7,10 +7,10 @@
 
 // The kinds of errors of this package.
 const (
-	KindInvalid     Kind = "invalid"     // a value or a file's content is not allowed
-	KindFile        Kind = "file"        // a file cannot be read or written
+	KindInvalid     Kind = "invalid"     // a value or the content of a file is invalid
+	KindFile        Kind = "file"        // a file could not be read or written
 	KindPermissions Kind = "permissions" // group or others can access a private key file
-	KindDenied      Kind = "denied"      // a peer is not accepted
+	KindDenied      Kind = "denied"      // the peer has no trusted certificate or the policy does not allow it
 )
 
 // Error is the error type of this package. It never contains a secret.
--- a/internal/transport/identity/file.go
+++ b/internal/transport/identity/file.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	privateMode = 0o600
-	publicMode  = 0o644
-	// othersMask are the permission bits of group and others.
-	othersMask = 0o077
+	privateFileMode = 0o600
+	publicFileMode  = 0o644
+	// groupAndOthersMask covers the permission bits of group and others.
+	groupAndOthersMask = 0o077
 
-	blockPrivateKey  = "PRIVATE KEY"
-	blockPublicKey   = "PUBLIC KEY"
-	blockCertificate = "CERTIFICATE"
+	pemTypePrivateKey  = "PRIVATE KEY"
+	pemTypePublicKey   = "PUBLIC KEY"
+	pemTypeCertificate = "CERTIFICATE"
 )
 
-// writeNew writes a file that must not exist yet, so that no key is ever
-// overwritten, and makes it durable before it returns.
-func writeNew(path string, mode os.FileMode, block *pem.Block) error {
+// createPEMFile writes a PEM block to a new file and syncs the file. It fails if
+// the file exists, so that no key is ever overwritten.
+func createPEMFile(path string, mode os.FileMode, block *pem.Block) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return newError("write", KindFile, err)
@@ -42,8 +42,9 @@
 	return nil
 }
 
-// readBlock returns the first PEM block of a file, which must have the given type.
-func readBlock(path, blockType string) ([]byte, error) {
+// readPEMBlock returns the content of the first PEM block of a file, which must
+// have the given type.
+func readPEMBlock(path, blockType string) ([]byte, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, newError("read", KindFile, err)
@@ -51,20 +52,22 @@
 
 	block, _ := pem.Decode(content)
 	if block == nil || block.Type != blockType {
-		return nil, newError("read", KindInvalid, errors.Errorf("%s does not start with a PEM block %q", path, blockType))
+		return nil, newError("read", KindInvalid,
+			errors.Errorf("%s does not start with a PEM block of type %q", path, blockType))
 	}
 
 	return block.Bytes, nil
 }
 
-// checkPrivate refuses a file that others than its owner can access.
-func checkPrivate(path string) error {
+// checkFileMode returns an error of KindPermissions if group or others have any
+// access to the file.
+func checkFileMode(path string) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return newError("read", KindFile, err)
 	}
 
-	if mode := info.Mode().Perm(); mode&othersMask != 0 {
+	if mode := info.Mode().Perm(); mode&groupAndOthersMask != 0 {
 		return newError("read", KindPermissions,
 			errors.Errorf("%s has mode %#o, but group and others must have no access: chmod 600 %s", path, mode, path))
 	}
--- a/internal/transport/identity/identity.go
+++ b/internal/transport/identity/identity.go
@@ -1,5 +1,5 @@
-// Package identity manages the keys and certificates by which the processes
-// of a deployment and its operators recognise each other.
+// Package identity manages the keys and certificates with which the processes
+// of a deployment and its operators authenticate each other.
 //
 // A deployment authority, created once by the operators, signs one
 // certificate per instance. The certificate states the role, the environment,
@@ -38,7 +38,7 @@
 	"github.com/juju/errors"
 )
 
-// Role is what a process or person does in a deployment.
+// Role is the function of a process or person in a deployment.
 type Role string
 
 // The roles.
@@ -49,16 +49,17 @@
 	RoleOperator   Role = "operator"
 )
 
-// AllEnvironments is the environment of controllers and operators, which
-// serve every environment of the deployment.
+// AllEnvironments is the environment in the certificates of controllers and
+// operators, which serve every environment of the deployment.
 const AllEnvironments = "all"
 
-const scheme = "jayspindle"
+const uriScheme = "jayspindle"
 
-// label bounds the parts of a URI to characters that need no escaping.
-var label = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
+// labelPattern restricts the parts of a URI to at most 63 characters that need
+// no escaping.
+var labelPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// Identity is what a certificate states about its holder.
+// Identity is the subject of a certificate.
 type Identity struct {
 	Role        Role
 	Environment string
@@ -66,18 +67,18 @@
 	Service     string // agents only
 }
 
-// Check reports the first field that is not allowed.
+// Check returns an error of KindInvalid for the first field that is invalid.
 func (i Identity) Check() error {
 	if !slices.Contains([]Role{RoleController, RoleBalancer, RoleAgent, RoleOperator}, i.Role) {
 		return newError("check identity", KindInvalid, errors.Errorf("role %q is unknown", i.Role))
 	}
 
-	if !label.MatchString(i.Environment) {
-		return newError("check identity", KindInvalid, errors.Errorf("environment %q is not a label", i.Environment))
+	if !labelPattern.MatchString(i.Environment) {
+		return newError("check identity", KindInvalid, errors.Errorf("environment %q is not a valid label", i.Environment))
 	}
 
-	if !label.MatchString(i.Name) {
-		return newError("check identity", KindInvalid, errors.Errorf("name %q is not a label", i.Name))
+	if !labelPattern.MatchString(i.Name) {
+		return newError("check identity", KindInvalid, errors.Errorf("name %q is not a valid label", i.Name))
 	}
 
 	if (i.Role == RoleAgent) != (i.Service != "") {
@@ -85,30 +86,30 @@
 			errors.Errorf("service is %q: an agent has one, role %q has none", i.Service, i.Role))
 	}
 
-	if i.Service != "" && !label.MatchString(i.Service) {
-		return newError("check identity", KindInvalid, errors.Errorf("service %q is not a label", i.Service))
+	if i.Service != "" && !labelPattern.MatchString(i.Service) {
+		return newError("check identity", KindInvalid, errors.Errorf("service %q is not a valid label", i.Service))
 	}
 
 	return nil
 }
 
-// URI returns the identity as the URI name of a certificate.
+// URI returns the identity as the URI subject alternative name of a certificate.
 func (i Identity) URI() *url.URL {
 	path := "/" + string(i.Role) + "/" + i.Name
 	if i.Service != "" {
 		path += "/" + i.Service
 	}
 
-	return &url.URL{Scheme: scheme, Host: i.Environment, Path: path}
+	return &url.URL{Scheme: uriScheme, Host: i.Environment, Path: path}
 }
 
 // String returns the URI.
 func (i Identity) String() string { return i.URI().String() }
 
-// Parse returns the identity that a URI states.
+// Parse returns the identity that a URI encodes.
 func Parse(uri *url.URL) (Identity, error) {
-	if uri.Scheme != scheme {
-		return Identity{}, newError("parse identity", KindInvalid, errors.Errorf("scheme of %q is not %q", uri, scheme))
+	if uri.Scheme != uriScheme {
+		return Identity{}, newError("parse identity", KindInvalid, errors.Errorf("scheme of %q is not %q", uri, uriScheme))
 	}
 
 	parts := strings.Split(strings.TrimPrefix(uri.Path, "/"), "/")
@@ -124,13 +125,13 @@
 	return identity, identity.Check()
 }
 
-// Policy states which peers are accepted.
+// Policy selects the peers that are accepted.
 type Policy struct {
 	// Roles lists the accepted roles; an empty list accepts every role.
 	Roles []Role
-	// Environment is the environment that the peer must serve. Peers of
-	// AllEnvironments serve every environment, and AllEnvironments or the
-	// empty string accepts every peer.
+	// Environment is the environment that the peer must serve. A peer whose
+	// environment is AllEnvironments serves every environment. A policy with
+	// AllEnvironments or the empty string accepts every peer.
 	Environment string
 }
 
--- a/internal/transport/identity/identity_test.go
+++ b/internal/transport/identity/identity_test.go
@@ -35,17 +35,17 @@
 	return authority
 }
 
-func (d deployment) issue(authority *identity.Authority, holder identity.Identity) identity.Files {
+func (d deployment) issue(authority *identity.Authority, subject identity.Identity) identity.Files {
 	d.t.Helper()
 
 	files := identity.Files{
-		Certificate: d.path(holder.Name + ".pem"),
-		Key:         d.path(holder.Name + ".key"),
+		Certificate: d.path(subject.Name + ".pem"),
+		Key:         d.path(subject.Name + ".key"),
 		Authorities: []string{d.path("one.pem")},
 	}
 	os.Remove(files.Certificate)
 	os.Remove(files.Key)
-	is.New(d.t).NoErr(authority.Issue(holder, files.Certificate, files.Key, time.Now()))
+	is.New(d.t).NoErr(authority.Issue(subject, files.Certificate, files.Key, time.Now()))
 
 	return files
 }
@@ -59,7 +59,8 @@
 	return store
 }
 
-// handshake returns the errors of server and client.
+// handshake runs a TLS handshake over TCP and returns the errors of the server
+// and of the client.
 func handshake(t *testing.T, server, client *tls.Config) (error, error) {
 	t.Helper()
 
@@ -108,71 +109,71 @@
 	}
 )
 
-func with(holder identity.Identity, role identity.Role, environment, service string) identity.Identity {
-	holder.Role, holder.Environment, holder.Service = role, environment, service
+func withFields(subject identity.Identity, role identity.Role, environment, service string) identity.Identity {
+	subject.Role, subject.Environment, subject.Service = role, environment, service
 
-	return holder
+	return subject
 }
 
-// Guards against a peer of another role, environment or authority that gets a
-// connection.
+// Guards against accepting a peer with a different role, environment or
+// authority.
 func TestHandshake(t *testing.T) {
 	d := deployment{t: t, directory: t.TempDir()}
-	one, two := d.authority("one"), d.authority("two")
-	server := d.open(d.issue(one, balancer))
+	trusted, untrusted := d.authority("one"), d.authority("two")
+	server := d.open(d.issue(trusted, balancer))
 
 	cases := map[string]struct {
-		signer *identity.Authority
-		holder identity.Identity
-		accept bool
+		signer       *identity.Authority
+		subject      identity.Identity
+		wantAccepted bool
 	}{
-		"accepted":          {one, agent, true},
-		"other role":        {one, with(agent, identity.RoleOperator, "all", ""), false},
-		"other environment": {one, with(agent, identity.RoleAgent, "trial", "crew-link"), false},
-		"other authority":   {two, with(agent, identity.RoleAgent, "production", "sheet-desk"), false},
+		"accepted":          {trusted, agent, true},
+		"other role":        {trusted, withFields(agent, identity.RoleOperator, "all", ""), false},
+		"other environment": {trusted, withFields(agent, identity.RoleAgent, "trial", "crew-link"), false},
+		"other authority":   {untrusted, withFields(agent, identity.RoleAgent, "production", "sheet-desk"), false},
 	}
 
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			client := d.open(d.issue(c.signer, c.holder))
-			accept := identity.Policy{Roles: []identity.Role{identity.RoleAgent}, Environment: "production"}
-			err, _ := handshake(t, server.ServerTLS(accept), client.ClientTLS(identity.Policy{}))
-			is.New(t).Equal(err == nil, c.accept)
+			client := d.open(d.issue(c.signer, c.subject))
+			policy := identity.Policy{Roles: []identity.Role{identity.RoleAgent}, Environment: "production"}
+			err, _ := handshake(t, server.ServerTLS(policy), client.ClientTLS(identity.Policy{}))
+			is.New(t).Equal(err == nil, c.wantAccepted)
 
-			_, err = handshake(t, client.ServerTLS(identity.Policy{}), server.ClientTLS(accept))
-			is.New(t).Equal(err == nil, c.accept && c.signer == one)
+			_, err = handshake(t, client.ServerTLS(identity.Policy{}), server.ClientTLS(policy))
+			is.New(t).Equal(err == nil, c.wantAccepted && c.signer == trusted)
 		})
 	}
 }
 
-// Guards against a rotation that needs a restart, and against a half-written
-// rotation that stops an instance.
+// Guards against a rotation that takes effect only after a restart, and against
+// handshakes that fail because a rotation is only partly written.
 func TestRotation(t *testing.T) {
 	is := is.New(t)
 	d := deployment{t: t, directory: t.TempDir()}
-	one, two := d.authority("one"), d.authority("two")
-	server := d.open(d.issue(one, balancer))
-	client := d.open(d.issue(one, agent))
+	oldAuthority, newAuthority := d.authority("one"), d.authority("two")
+	server := d.open(d.issue(oldAuthority, balancer))
+	client := d.open(d.issue(oldAuthority, agent))
 
-	d.issue(two, agent) // replaces the files that the store has read
+	d.issue(newAuthority, agent) // replaces the files that the client's store has read
 	err, _ := handshake(t, server.ServerTLS(identity.Policy{}), client.ClientTLS(identity.Policy{}))
 	is.True(err != nil) // the server doesn't trust the second authority yet
 
-	old, err := os.ReadFile(d.path("one.pem"))
+	oldPEM, err := os.ReadFile(d.path("one.pem"))
 	is.NoErr(err)
-	successor, err := os.ReadFile(d.path("two.pem"))
+	newPEM, err := os.ReadFile(d.path("two.pem"))
 	is.NoErr(err)
-	is.NoErr(os.WriteFile(d.path("one.pem"), append(old, successor...), 0o644))
+	is.NoErr(os.WriteFile(d.path("one.pem"), append(oldPEM, newPEM...), 0o644))
 	err, _ = handshake(t, server.ServerTLS(identity.Policy{}), client.ClientTLS(identity.Policy{}))
 	is.NoErr(err)
 
 	is.NoErr(os.WriteFile(d.path("kokura-1.pem"), []byte("half a cert"), 0o644))
 	err, _ = handshake(t, server.ServerTLS(identity.Policy{}), client.ClientTLS(identity.Policy{}))
-	is.NoErr(err) // the last good certificate stays in use
+	is.NoErr(err) // the previous certificate stays in use
 }
 
-// Guards against private keys that other users of the instance can read, and
-// against a key file that overwrites another.
+// Guards against private key files that other users of the machine can access,
+// and against overwriting an existing key file.
 func TestKeyFiles(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "owner.key")
--- a/internal/transport/identity/key.go
+++ b/internal/transport/identity/key.go
@@ -14,13 +14,13 @@
 	"github.com/juju/errors"
 )
 
-// publicKeyPrefix precedes the base64 text of a public key in documents.
+// publicKeyPrefix precedes the base64-encoded public key in documents.
 const publicKeyPrefix = "ed25519:"
 
-const hidden = "private key (hidden)"
+const redactedKey = "private key (hidden)"
 
-// PrivateKey is an Ed25519 private key. It implements crypto.Signer, and its
-// text and log values are placeholders.
+// PrivateKey is an Ed25519 private key. It implements crypto.Signer. Formatting
+// or logging it prints a placeholder instead of the key.
 type PrivateKey struct {
 	key ed25519.PrivateKey
 }
@@ -48,18 +48,18 @@
 
 // LoadKey reads a key file and refuses one that group or others can access.
 func LoadKey(path string) (*PrivateKey, error) {
-	if err := checkPrivate(path); err != nil {
+	if err := checkFileMode(path); err != nil {
 		return nil, err
 	}
 
-	encoded, err := readBlock(path, blockPrivateKey)
+	encoded, err := readPEMBlock(path, pemTypePrivateKey)
 	if err != nil {
 		return nil, err
 	}
 
 	parsed, err := x509.ParsePKCS8PrivateKey(encoded)
 	if err != nil {
-		// The parser's error is left out: it can quote the content.
+		// The parser's error is omitted because it can quote the key.
 		return nil, newError("read", KindInvalid, errors.Errorf("%s is not a PKCS #8 private key", path))
 	}
 
@@ -77,7 +77,7 @@
 		return newError("write", KindInvalid, errors.New("the key cannot be encoded"))
 	}
 
-	return writeNew(path, privateMode, &pem.Block{Type: blockPrivateKey, Bytes: encoded})
+	return createPEMFile(path, privateFileMode, &pem.Block{Type: pemTypePrivateKey, Bytes: encoded})
 }
 
 // Public returns the ed25519.PublicKey.
@@ -95,20 +95,21 @@
 func (k *PrivateKey) SignMessage(message []byte) []byte { return ed25519.Sign(k.key, message) }
 
 // String hides the key.
-func (k *PrivateKey) String() string { return hidden }
+func (k *PrivateKey) String() string { return redactedKey }
 
 // GoString hides the key from the %#v verb.
-func (k *PrivateKey) GoString() string { return hidden }
+func (k *PrivateKey) GoString() string { return redactedKey }
 
 // LogValue hides the key from logs.
-func (k *PrivateKey) LogValue() slog.Value { return slog.StringValue(hidden) }
+func (k *PrivateKey) LogValue() slog.Value { return slog.StringValue(redactedKey) }
 
-// FormatPublicKey returns the key as documents state it: "ed25519:BASE64".
+// FormatPublicKey returns the key in the form that documents use:
+// "ed25519:BASE64".
 func FormatPublicKey(key ed25519.PublicKey) string {
 	return publicKeyPrefix + base64.StdEncoding.EncodeToString(key)
 }
 
-// ParsePublicKey parses the text that FormatPublicKey returns.
+// ParsePublicKey parses the form that FormatPublicKey returns.
 func ParsePublicKey(text string) (ed25519.PublicKey, error) {
 	encoded, ok := strings.CutPrefix(text, publicKeyPrefix)
 	if !ok {
@@ -136,5 +137,5 @@
 		return newError("write", KindInvalid, err)
 	}
 
-	return writeNew(path, publicMode, &pem.Block{Type: blockPublicKey, Bytes: encoded})
+	return createPEMFile(path, publicFileMode, &pem.Block{Type: pemTypePublicKey, Bytes: encoded})
 }
--- a/internal/transport/identity/service.go
+++ b/internal/transport/identity/service.go
@@ -7,12 +7,13 @@
 	"github.com/juju/errors"
 )
 
-// IssueService creates a key and a certificate that callers of a service see,
-// with the service's name as the DNS name, and writes both to new files. A
-// deployment whose callers trust another authority uses certificates of that.
+// IssueService creates a key and the server certificate that a service presents
+// to its callers, with the service's name as the DNS name, and writes both to
+// new files. If the callers trust another authority, the deployment uses
+// certificates of that authority instead.
 func (a *Authority) IssueService(service, certificatePath, keyPath string, now time.Time) error {
-	if !label.MatchString(service) {
-		return newError("issue service", KindInvalid, errors.Errorf("service %q is not a label", service))
+	if !labelPattern.MatchString(service) {
+		return newError("issue service", KindInvalid, errors.Errorf("service %q is not a valid label", service))
 	}
 
 	template, err := newTemplate(service, now, InstanceValidity)
--- a/internal/transport/identity/store.go
+++ b/internal/transport/identity/store.go
@@ -25,39 +25,39 @@
 
 // Store holds the certificate, the key and the trusted authorities of an
 // instance. It rereads changed files before each handshake. Established links
-// keep the certificates they were set up with, so a rotation cuts none.
+// keep the certificates of their handshake, so a rotation does not close them.
 type Store struct {
 	files  Files
 	logger *slog.Logger
 
 	mutex    sync.Mutex
-	versions []version
-	current  material
+	versions []fileVersion
+	current  credentials
 }
 
-// material is the content of the files at one time.
-type material struct {
+// credentials is the parsed content of the files.
+type credentials struct {
 	identity    Identity
 	certificate *tls.Certificate
 	pool        *x509.CertPool
 }
 
-// version tells two contents of a file apart without reading it.
-type version struct {
+// fileVersion is compared to detect a changed file without reading it.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// Open reads the files.
+// Open reads the files and returns a store of their content.
 func Open(files Files, logger *slog.Logger) (*Store, error) {
 	store := &Store{files: files, logger: logger}
 
-	versions, err := store.stat()
+	versions, err := store.statFiles()
 	if err != nil {
 		return nil, err
 	}
 
-	current, err := load(files)
+	current, err := loadCredentials(files)
 	if err != nil {
 		return nil, err
 	}
@@ -67,29 +67,30 @@
 	return store, nil
 }
 
-// Identity returns what the current certificate states.
+// Identity returns the subject of the current certificate.
 func (s *Store) Identity() Identity { return s.refresh().identity }
 
-// refresh returns the content of the files. If changed files cannot be used,
-// for example halfway through a rotation, the last good content stays in use.
-func (s *Store) refresh() material {
+// refresh rereads the files if they have changed and returns the credentials in
+// use. If the changed files are invalid, for example halfway through a rotation,
+// the previous credentials stay in use.
+func (s *Store) refresh() credentials {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	versions, err := s.stat()
+	versions, err := s.statFiles()
 	if err != nil {
-		s.logger.Warn("identity files cannot be checked, the last certificate stays in use", "error", err)
+		s.logger.Warn("cannot stat identity files, the previous certificate stays in use", "error", err)
 
 		return s.current
 	}
 
-	if equal(versions, s.versions) {
+	if equalVersions(versions, s.versions) {
 		return s.current
 	}
 
-	next, err := load(s.files)
+	next, err := loadCredentials(s.files)
 	if err != nil {
-		s.logger.Warn("changed identity files cannot be used, the last certificate stays in use", "error", err)
+		s.logger.Warn("cannot load changed identity files, the previous certificate stays in use", "error", err)
 
 		return s.current
 	}
@@ -100,9 +101,9 @@
 	return s.current
 }
 
-func (s *Store) stat() ([]version, error) {
+func (s *Store) statFiles() ([]fileVersion, error) {
 	paths := append([]string{s.files.Certificate, s.files.Key}, s.files.Authorities...)
-	versions := make([]version, 0, len(paths))
+	versions := make([]fileVersion, 0, len(paths))
 
 	for _, path := range paths {
 		info, err := os.Stat(path)
@@ -110,13 +111,13 @@
 			return nil, newError("open", KindFile, err)
 		}
 
-		versions = append(versions, version{modified: info.ModTime(), size: info.Size()})
+		versions = append(versions, fileVersion{modified: info.ModTime(), size: info.Size()})
 	}
 
 	return versions, nil
 }
 
-func equal(a, b []version) bool {
+func equalVersions(a, b []fileVersion) bool {
 	for i := range a {
 		if !a[i].modified.Equal(b[i].modified) || a[i].size != b[i].size {
 			return false
@@ -126,33 +127,33 @@
 	return true
 }
 
-func load(files Files) (material, error) {
+func loadCredentials(files Files) (credentials, error) {
 	leaf, err := loadCertificate(files.Certificate)
 	if err != nil {
-		return material{}, err
+		return credentials{}, err
 	}
 
-	identity, err := ofCertificate(leaf)
+	identity, err := identityFromCertificate(leaf)
 	if err != nil {
-		return material{}, err
+		return credentials{}, err
 	}
 
 	key, err := LoadKey(files.Key)
 	if err != nil {
-		return material{}, err
+		return credentials{}, err
 	}
 
 	if !key.PublicKey().Equal(leaf.PublicKey) {
-		return material{}, newError("open", KindInvalid,
-			errors.Errorf("%s is not the key of %s", files.Key, files.Certificate))
+		return credentials{}, newError("open", KindInvalid,
+			errors.Errorf("private key %s does not match certificate %s", files.Key, files.Certificate))
 	}
 
 	pool, err := loadPool(files.Authorities)
 	if err != nil {
-		return material{}, err
+		return credentials{}, err
 	}
 
-	return material{
+	return credentials{
 		identity:    identity,
 		certificate: &tls.Certificate{Certificate: [][]byte{leaf.Raw}, PrivateKey: key, Leaf: leaf},
 		pool:        pool,
@@ -178,7 +179,7 @@
 
 	if count < 1 || count > MaxAuthorities {
 		return nil, newError("open", KindInvalid,
-			errors.Errorf("%d authorities, but 1 to %d are allowed", count, MaxAuthorities))
+			errors.Errorf("%d authorities are configured, but 1 to %d are allowed", count, MaxAuthorities))
 	}
 
 	return pool, nil
