--- a/internal/transport/link/answer.go
+++ b/internal/transport/link/answer.go
@@ -10,16 +10,16 @@
 )
 
 // requestTimeout bounds the wait for the request of an accepted stream, so
-// that a caller that sends half a request does not hold a stream for ever.
+// that a caller that sends only part of a request does not keep the stream open
+// forever.
 const requestTimeout = 10 * time.Second
 
-// lingerTimeout bounds the wait for the caller's acknowledgement of a reply.
-// Without the wait, a closing server could drop a reply that is still in its
-// send buffer.
+// lingerTimeout bounds the wait until the caller has read a reply. Without the
+// wait, a closing server could drop a reply that is still in its send buffer.
 const lingerTimeout = time.Second
 
 // answer reads one request, runs its handler and writes the reply.
-func (s *Server) answer(work, accepting context.Context, stream *quic.Stream) {
+func (s *Server) answer(callsCtx, acceptCtx context.Context, stream *quic.Stream) {
 	defer stream.CancelRead(codeCanceled)
 	defer stream.Close() //nolint:errcheck // a cancelled stream is closed already
 
@@ -36,7 +36,7 @@
 
 	stream.SetReadDeadline(time.Time{}) //nolint:errcheck // a closed stream fails the read too
 
-	ctx, cancel := context.WithCancel(work)
+	ctx, cancel := context.WithCancel(callsCtx)
 	defer cancel()
 
 	if call.Timeout > 0 {
@@ -45,35 +45,36 @@
 	}
 
 	// The stream's context ends when the caller cancels or the link is lost.
-	defer context.AfterFunc(stream.Context(), cancel)() //nolint:contextcheck // it joins two contexts
+	defer context.AfterFunc(stream.Context(), cancel)() //nolint:contextcheck // cancels ctx with the stream
 
 	handler, unary := s.handlers[call.Method]
 	streamer, streaming := s.streams[call.Method]
 
 	switch {
 	case !unary && !streaming:
-		s.finish(stream, "unknown", failure(Errorf(KindMethod, "method %q does not exist", call.Method)))
+		s.finish(stream, "unknown", errorEnvelope(Errorf(KindMethod, "method %q does not exist", call.Method)))
 	case !s.calls.begin():
-		s.finish(stream, call.Method, failure(Errorf(KindClosing, "the server shuts down")))
+		s.finish(stream, call.Method, errorEnvelope(Errorf(KindClosing, "the server shuts down")))
 	case unary:
 		defer s.calls.end()
 
-		count(call.Method, len(request.encoded), 0)
-		s.unary(ctx, stream, request, handler)
+		countFrame(call.Method, len(request.encoded), 0)
+		s.answerUnary(ctx, stream, request, handler)
 		linger(stream)
 	default:
-		// A stream has no end of its own, so a closing server ends it.
+		// A server stream can run indefinitely, so a closing server cancels it
+		// instead of waiting for it.
 		s.calls.end()
 
-		defer context.AfterFunc(accepting, cancel)()
+		defer context.AfterFunc(acceptCtx, cancel)()
 
-		count(call.Method, len(request.encoded), 0)
-		s.stream(ctx, accepting, stream, request, streamer)
+		countFrame(call.Method, len(request.encoded), 0)
+		s.answerStream(ctx, acceptCtx, stream, request, streamer)
 	}
 }
 
-// linger waits until the caller has closed its side, which it does after it
-// has read the whole reply.
+// linger waits until the caller has closed its side of the stream, which it does
+// after it has read the whole reply.
 func linger(stream *quic.Stream) {
 	stream.Close()                                        //nolint:errcheck // a cancelled stream is closed already
 	stream.SetReadDeadline(time.Now().Add(lingerTimeout)) //nolint:errcheck // a closed stream fails the read too
@@ -98,28 +99,28 @@
 	return &Request{method: call.Method, encoded: body}, nil
 }
 
-func (s *Server) unary(ctx context.Context, stream *quic.Stream, request *Request, handler Handler) {
+func (s *Server) answerUnary(ctx context.Context, stream *quic.Stream, request *Request, handler Handler) {
 	reply, err := handler(ctx, request)
 	if err != nil {
-		s.finish(stream, request.method, failure(err))
+		s.finish(stream, request.method, errorEnvelope(err))
 
 		return
 	}
 
 	body, err := cbor.Marshal(reply)
 	if err != nil {
-		s.finish(stream, request.method, failure(err))
+		s.finish(stream, request.method, errorEnvelope(err))
 
 		return
 	}
 
 	if err := s.write(stream, request.method, envelope{Body: body, End: true}); KindOf(err) == KindTooLarge {
-		s.finish(stream, request.method, failure(err))
+		s.finish(stream, request.method, errorEnvelope(err))
 	}
 }
 
-func (s *Server) stream(
-	ctx, accepting context.Context, stream *quic.Stream, request *Request, handler StreamHandler,
+func (s *Server) answerStream(
+	ctx, acceptCtx context.Context, stream *quic.Stream, request *Request, handler StreamHandler,
 ) {
 	err := handler(ctx, request, func(item any) error {
 		body, err := cbor.Marshal(item)
@@ -133,26 +134,27 @@
 	last := envelope{End: true}
 
 	switch {
-	case accepting.Err() != nil:
-		last = failure(Errorf(KindClosing, "the server shuts down"))
+	case acceptCtx.Err() != nil:
+		last = errorEnvelope(Errorf(KindClosing, "the server shuts down"))
 	case err != nil:
-		last = failure(err)
+		last = errorEnvelope(err)
 	}
 
 	s.finish(stream, request.method, last)
 }
 
-// finish sends the last envelope. If the link is lost there is nobody to tell.
+// finish sends the last envelope. A failure is only logged, because the caller
+// can no longer be reached.
 func (s *Server) finish(stream *quic.Stream, method string, last envelope) {
 	if err := s.write(stream, method, last); err != nil {
 		s.logger.Debug("a reply could not be sent", "method", method, "error", err)
 	}
 }
 
-// write sends an envelope.
+// write sends an envelope and counts the bytes written.
 func (s *Server) write(stream *quic.Stream, method string, reply envelope) error {
 	written, err := writeFrame(stream, reply)
-	count(method, 0, written)
+	countFrame(method, 0, written)
 
 	if err != nil {
 		return classify("write", err)
--- a/internal/transport/link/backoff.go
+++ b/internal/transport/link/backoff.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// minBackoff is the bound of the first wait, maxBackoff that of all
-	// later ones. The wait is uniform between zero and the bound ("full
-	// jitter", Brooker, 2015), so that instances do not redial in step.
+	// minBackoff is the upper bound of the first delay. The bound doubles with
+	// each further delay, up to maxBackoff. The delay is uniform between zero
+	// and the bound ("full jitter", Brooker, 2015), so that instances do not
+	// redial at the same time.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// backoff yields the waits between rounds of failed dials.
+// backoff computes the delays between rounds of failed dials.
 type backoff struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	bound  time.Duration
 }
 
-// next returns the wait before the next round.
-func (b *backoff) next() time.Duration {
+// nextDelay returns the delay before the next round.
+func (b *backoff) nextDelay() time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 
@@ -31,7 +32,7 @@
 	return time.Duration(b.random.Int64N(int64(b.bound))) + time.Millisecond
 }
 
-// reset starts anew after a success.
+// reset returns to the shortest delay after a successful dial.
 func (b *backoff) reset() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/transport/link/client.go
+++ b/internal/transport/link/client.go
@@ -13,8 +13,9 @@
 	"jayspindle/internal/transport/identity"
 )
 
-// maxRedirects is the number of redirects that a call follows without a wait.
-// Controllers that disagree about the leader could otherwise pass a call around.
+// maxRedirects is the number of redirects that a call follows without a backoff.
+// Controllers that disagree about the leader could otherwise redirect a call to
+// each other in a tight loop.
 const maxRedirects = 3
 
 // ClientOptions configures a Client.
@@ -23,7 +24,8 @@
 	Addresses []netip.AddrPort
 	Identity  *identity.Store
 	Accept    identity.Policy
-	// Random is the source of the jitter between dials. The client owns it.
+	// Random is the source of the backoff jitter. The caller must not use it
+	// after Dial.
 	Random *rand.Rand
 }
 
@@ -32,8 +34,8 @@
 type Client struct {
 	options ClientOptions
 	backoff backoff
-	// dialing admits one dialer at a time.
-	dialing chan struct{}
+	// dialSemaphore allows one dial at a time.
+	dialSemaphore chan struct{}
 
 	mutex     sync.Mutex
 	addresses []netip.AddrPort // the first one is tried next
@@ -41,13 +43,13 @@
 	closed    bool
 }
 
-// Dial returns a client. It connects on first use.
+// Dial returns a client, which connects on first use.
 func Dial(options ClientOptions) *Client {
 	return &Client{
-		options:   options,
-		backoff:   backoff{random: options.Random},
-		dialing:   make(chan struct{}, 1),
-		addresses: slices.Clone(options.Addresses),
+		options:       options,
+		backoff:       backoff{random: options.Random},
+		dialSemaphore: make(chan struct{}, 1),
+		addresses:     slices.Clone(options.Addresses),
 	}
 }
 
@@ -67,21 +69,21 @@
 			return nil
 		}
 
-		err = c.afterFailure(ctx, session, err)
+		err = c.handleFailure(ctx, session, err)
 		if kind := KindOf(err); kind != KindRedirect && kind != KindClosing {
 			return err
 		}
 
 		if _, known := redirectOf(err); !known || redirects >= maxRedirects {
-			if waitErr := c.wait(ctx); waitErr != nil {
+			if waitErr := c.waitBackoff(ctx); waitErr != nil {
 				return err
 			}
 		}
 	}
 }
 
-// Stream starts a server stream. Its items come from Stream.Next; ctx bounds
-// the whole stream.
+// Stream starts a server stream, whose items Stream.Next returns. The stream
+// is cancelled when ctx ends.
 func (c *Client) Stream(ctx context.Context, method string, request any) (*Stream, error) {
 	session, err := c.connect(ctx)
 	if err != nil {
@@ -90,13 +92,14 @@
 
 	stream, err := session.open(ctx, method, request)
 	if err != nil {
-		return nil, c.afterFailure(ctx, session, err)
+		return nil, c.handleFailure(ctx, session, err)
 	}
 
 	return &Stream{client: c, session: session, exchange: stream, ctx: ctx}, nil
 }
 
-// Connected returns the server that calls go to at present.
+// Connected returns the identity and the address of the server in use, and false
+// if there is no connection.
 func (c *Client) Connected() (identity.Identity, netip.AddrPort, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -120,18 +123,18 @@
 	}
 }
 
-// connect returns the connection in use or dials the addresses in turn, with
-// a wait after each round, until ctx ends.
+// connect returns the session in use or dials the addresses in turn, with a
+// backoff after each round, until ctx ends.
 func (c *Client) connect(ctx context.Context) (*session, error) {
 	select {
-	case c.dialing <- struct{}{}:
-		defer func() { <-c.dialing }()
+	case c.dialSemaphore <- struct{}{}:
+		defer func() { <-c.dialSemaphore }()
 	case <-ctx.Done():
 		return nil, &Error{operation: operationDial, kind: KindUnreachable, err: context.Cause(ctx)}
 	}
 
 	for {
-		session, addresses, err := c.state()
+		session, addresses, err := c.sessionOrAddresses()
 		if session != nil || err != nil {
 			return session, err
 		}
@@ -141,14 +144,14 @@
 				return session, nil
 			}
 
-			c.demote(address)
+			c.demoteAddress(address)
 
 			if ctx.Err() != nil {
 				break // the other addresses were not tried, so they keep their order
 			}
 		}
 
-		if c.wait(ctx) != nil {
+		if c.waitBackoff(ctx) != nil {
 			if err == nil {
 				err = context.Cause(ctx)
 			}
@@ -158,7 +161,7 @@
 	}
 }
 
-func (c *Client) state() (*session, []netip.AddrPort, error) {
+func (c *Client) sessionOrAddresses() (*session, []netip.AddrPort, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
@@ -177,10 +180,10 @@
 func (c *Client) dial(ctx context.Context, address netip.AddrPort) (*session, error) {
 	metrics.Add(metricDials, 1)
 
-	limited, cancel := context.WithTimeout(ctx, dialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 
-	next, err := dialSession(limited, address, c.options.Identity.ClientTLS(c.options.Accept))
+	next, err := dialSession(dialCtx, address, c.options.Identity.ClientTLS(c.options.Accept))
 	if err != nil {
 		return nil, err
 	}
@@ -207,9 +210,9 @@
 	return next, nil
 }
 
-// afterFailure decides where the next call goes and returns the error with
+// handleFailure selects the server of the next call and returns the error with
 // its final kind.
-func (c *Client) afterFailure(ctx context.Context, failed *session, err error) error {
+func (c *Client) handleFailure(ctx context.Context, failed *session, err error) error {
 	typed := classify("call", err)
 
 	switch typed.kind {
@@ -217,35 +220,35 @@
 		metrics.Add(metricRedirects, 1)
 
 		if address, ok := typed.Redirect(); ok {
-			c.prefer(address, failed)
+			c.preferAddress(address, failed)
 		} else {
-			c.avoid(failed)
+			c.avoidAddress(failed)
 		}
 	case KindClosing:
-		c.avoid(failed)
+		c.avoidAddress(failed)
 	case KindSilent:
 		return c.probe(ctx, failed, typed)
 	case KindGone:
 		metrics.Add(metricGone, 1)
-		c.avoid(failed)
+		c.avoidAddress(failed)
 	}
 
 	return typed
 }
 
-// probe tries a new socket to the address of a silent connection. Only when
-// that fails too does the peer count as gone.
+// probe dials the address of a connection that timed out from a new socket. The
+// peer counts as gone only if this dial fails too.
 func (c *Client) probe(ctx context.Context, failed *session, cause *Error) error {
 	select {
-	case c.dialing <- struct{}{}:
-		defer func() { <-c.dialing }()
+	case c.dialSemaphore <- struct{}{}:
+		defer func() { <-c.dialSemaphore }()
 	case <-ctx.Done():
 		return cause
 	}
 
-	// Another call may have replaced the connection already. The failed one can
-	// still look alive here: its streams fail before its context ends.
-	if session, _, err := c.state(); err != nil || (session != nil && session != failed) {
+	// Another call may have replaced the session already. The failed session can
+	// still appear alive, because its streams fail before its context ends.
+	if session, _, err := c.sessionOrAddresses(); err != nil || (session != nil && session != failed) {
 		return cause
 	}
 
@@ -258,14 +261,15 @@
 	}
 
 	metrics.Add(metricGone, 1)
-	c.avoid(failed)
+	c.avoidAddress(failed)
 
 	return &Error{operation: cause.operation, kind: KindGone, err: cause.err}
 }
 
-// demote makes later dials try the other addresses first, also those of calls
-// whose time has run out during this one.
-func (c *Client) demote(address netip.AddrPort) {
+// demoteAddress moves an address to the end of the list after a failed dial, so
+// that later calls try the other addresses first even if this call's context has
+// ended.
+func (c *Client) demoteAddress(address netip.AddrPort) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
@@ -274,48 +278,52 @@
 	}
 }
 
-// prefer makes the next call go to an address, which need not be in the list.
-func (c *Client) prefer(address netip.AddrPort, from *session) {
-	c.leave(from, func() {
+// preferAddress makes the next call dial the given address first, which need not
+// be in ClientOptions.Addresses.
+func (c *Client) preferAddress(address netip.AddrPort, failed *session) {
+	c.leaveSession(failed, func() {
 		c.addresses = slices.DeleteFunc(c.addresses, func(other netip.AddrPort) bool { return other == address })
 		c.addresses = append([]netip.AddrPort{address}, c.addresses...)
-		// A redirect to an address outside the list replaces the last such one.
+		// Limits the list to one address more than ClientOptions.Addresses, for
+		// a redirect to an unlisted address.
 		c.addresses = c.addresses[:min(len(c.addresses), len(c.options.Addresses)+1)]
 	})
 }
 
-// avoid makes the next call try the other addresses first.
-func (c *Client) avoid(from *session) {
-	c.leave(from, func() {
+// avoidAddress makes the next call try the addresses of other servers first.
+func (c *Client) avoidAddress(failed *session) {
+	c.leaveSession(failed, func() {
 		before := len(c.addresses)
-		c.addresses = slices.DeleteFunc(c.addresses, func(other netip.AddrPort) bool { return other == from.address })
+		c.addresses = slices.DeleteFunc(c.addresses, func(other netip.AddrPort) bool { return other == failed.address })
 
 		if len(c.addresses) < before {
-			c.addresses = append(c.addresses, from.address)
+			c.addresses = append(c.addresses, failed.address)
 		}
 	})
 }
 
-// leave reorders the addresses unless another call has already left the
-// session. Other calls finish on it; it closes when the last one has ended.
-func (c *Client) leave(from *session, reorder func()) {
+// leaveSession stops using a session for new calls and reorders the addresses,
+// unless another call has already done so. Calls in progress continue; the
+// session closes when the last of them has ended.
+func (c *Client) leaveSession(failed *session, reorder func()) {
 	c.mutex.Lock()
-	current := c.current == from
+	isCurrent := c.current == failed
 
-	if current {
+	if isCurrent {
 		c.current = nil
 		reorder()
 	}
 	c.mutex.Unlock()
 
-	if current {
-		from.retire()
+	if isCurrent {
+		failed.retire()
 	}
 }
 
-// wait waits for the backoff and returns an error if ctx ends first.
-func (c *Client) wait(ctx context.Context) error {
-	timer := time.NewTimer(c.backoff.next())
+// waitBackoff waits for the next backoff delay and returns an error if ctx ends
+// first.
+func (c *Client) waitBackoff(ctx context.Context) error {
+	timer := time.NewTimer(c.backoff.nextDelay())
 	defer timer.Stop()
 
 	select {
--- a/internal/transport/link/error.go
+++ b/internal/transport/link/error.go
@@ -14,19 +14,19 @@
 // Kind classifies an Error.
 type Kind string
 
-// The kinds of errors of this package. All but the first five come from the
-// handler at the other end.
+// The kinds of errors of this package. The first five are failures of the link
+// itself, the others usually come from the handler at the server.
 const (
 	KindUnreachable Kind = "unreachable" // no connection; the request was not sent
-	KindSilent      Kind = "silent"      // the path fell silent; the outcome is unknown
+	KindSilent      Kind = "silent"      // the idle timeout expired; the outcome is unknown
 	KindGone        Kind = "gone"        // the peer closed or lost the connection; the outcome is unknown
 	KindDeadline    Kind = "deadline"    // the deadline passed; the outcome is unknown
 	KindTooLarge    Kind = "too-large"   // a frame exceeds MaxFrame
 
 	KindRedirect Kind = "redirect"  // not run; the leader is at the redirect address, if that is known
-	KindClosing  Kind = "closing"   // not run; the server shuts down
+	KindClosing  Kind = "closing"   // not run; the server is shutting down
 	KindMethod   Kind = "method"    // not run; the method does not exist
-	KindInvalid  Kind = "invalid"   // the request is malformed or out of bounds
+	KindInvalid  Kind = "invalid"   // the request is malformed or a field is out of range
 	KindDenied   Kind = "denied"    // the caller may not do this
 	KindNotFound Kind = "not-found" // the object does not exist
 	KindConflict Kind = "conflict"  // the state has changed since the caller read it
@@ -42,7 +42,7 @@
 	err       error
 }
 
-// NewError returns an error that crosses the link with its kind and message.
+// NewError returns a handler's error. Its kind and message are sent to the caller.
 func NewError(kind Kind, err error) *Error {
 	return &Error{operation: "handle", kind: kind, err: err}
 }
@@ -52,8 +52,8 @@
 	return NewError(kind, errors.Errorf(format, arguments...))
 }
 
-// Redirect returns an error that sends the caller to the leader. An invalid
-// address states that the leader is not known.
+// Redirect returns an error that redirects the caller to the leader. An invalid
+// address means that the leader is unknown.
 func Redirect(leader netip.AddrPort) *Error {
 	return &Error{
 		operation: "handle", kind: KindRedirect, redirect: leader,
@@ -70,7 +70,8 @@
 // Kind returns the kind of the error.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Redirect returns the leader's address of a KindRedirect error.
+// Redirect returns the leader's address of a KindRedirect error, and false if the
+// error has none.
 func (e *Error) Redirect() (netip.AddrPort, bool) { return e.redirect, e.redirect.IsValid() }
 
 // Unwrap returns the cause.
@@ -87,7 +88,7 @@
 	return KindInternal
 }
 
-// classify gives an error of QUIC or of a context its kind.
+// classify returns an Error with the kind of a QUIC or context error.
 func classify(operation string, err error) *Error {
 	var (
 		typed       *Error
--- a/internal/transport/link/frame.go
+++ b/internal/transport/link/frame.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	prefixBytes = 4
+	lengthPrefixBytes = 4
 
-	// maxElements bounds the elements of one array or map in a frame: a view
-	// of the target size lists 26,000 agents.
+	// maxElements limits the elements of one array or map in a frame. A view of
+	// the target size lists 26,000 agents.
 	maxElements = 1 << 17
 	maxNesting  = 16
 )
 
-// header starts a call; the request follows in a frame of its own.
+// header is the first frame of a call. The second frame is the request.
 type header struct {
 	Method  string        `cbor:"1,keyasint"`
 	Timeout time.Duration `cbor:"2,keyasint,omitempty"` // until the caller's deadline, 0 for none
 }
 
-// envelope carries one reply, or one item of a stream.
+// envelope is the frame of a reply or of one item of a stream.
 type envelope struct {
 	Kind     Kind            `cbor:"1,keyasint,omitempty"` // empty if the call succeeded
 	Message  string          `cbor:"2,keyasint,omitempty"`
@@ -34,10 +34,10 @@
 	Body     cbor.RawMessage `cbor:"5,keyasint,omitempty"`
 }
 
-// checker is implemented by messages that bound their own fields.
+// checker is implemented by messages that validate their fields.
 type checker interface{ Check() error }
 
-var decoding = func() cbor.DecMode {
+var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		MaxArrayElements: maxElements,
@@ -52,7 +52,8 @@
 	return mode
 }()
 
-// writeFrame writes a value and returns the bytes written.
+// writeFrame encodes a value into one frame and returns the number of bytes
+// written.
 func writeFrame(writer io.Writer, value any) (int, error) {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
@@ -66,17 +67,17 @@
 		}
 	}
 
-	frame := make([]byte, prefixBytes+len(encoded))
+	frame := make([]byte, lengthPrefixBytes+len(encoded))
 	binary.BigEndian.PutUint32(frame, uint32(len(encoded)))
-	copy(frame[prefixBytes:], encoded)
+	copy(frame[lengthPrefixBytes:], encoded)
 
 	return writer.Write(frame)
 }
 
-// readFrame reads the bytes of one frame. The buffer grows with what arrives,
-// so a false length cannot make the receiver allocate MaxFrame.
+// readFrame reads the content of one frame. The buffer grows with the bytes
+// received, so a false length prefix cannot make the receiver allocate MaxFrame.
 func readFrame(reader io.Reader) ([]byte, error) {
-	var prefix [prefixBytes]byte
+	var prefix [lengthPrefixBytes]byte
 	if _, err := io.ReadFull(reader, prefix[:]); err != nil {
 		return nil, err
 	}
@@ -101,9 +102,9 @@
 	return encoded, nil
 }
 
-// decode decodes a frame and checks the bounds of the message.
+// decode decodes the content of a frame and validates a message that is a checker.
 func decode(encoded []byte, message any) error {
-	if err := decoding.Unmarshal(encoded, message); err != nil {
+	if err := decodeMode.Unmarshal(encoded, message); err != nil {
 		return &Error{operation: "decode", kind: KindInvalid, err: err}
 	}
 
@@ -116,8 +117,8 @@
 	return nil
 }
 
-// failure returns the envelope of a handler's error.
-func failure(err error) envelope {
+// errorEnvelope returns the envelope that carries a handler's error.
+func errorEnvelope(err error) envelope {
 	typed := &Error{kind: KindInternal, err: err}
 	errors.As(err, &typed)
 
@@ -129,8 +130,8 @@
 	return result
 }
 
-// failed returns the error that an envelope carries.
-func (e envelope) failed(method string) error {
+// toError returns the error that the envelope carries, or nil.
+func (e envelope) toError(method string) error {
 	if e.Kind == "" {
 		return nil
 	}
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -1,5 +1,5 @@
 // Package link connects the processes of the system by mutually authenticated
-// QUIC (RFC 9000), addressed by IP number.
+// QUIC (RFC 9000) connections, dialed by IP address.
 //
 // # Usage
 //
@@ -25,16 +25,16 @@
 //	err = stream.Next(&update)
 //
 // Each call and each stream uses one QUIC stream of length-prefixed CBOR
-// (RFC 8949) frames of at most MaxFrame bytes. A handler's error crosses the
-// link with its kind, message and redirect.
+// (RFC 8949) frames of at most MaxFrame bytes. A handler's error is sent to the
+// caller with its kind, message and redirect.
 //
 // # Liveness
 //
-// Both ends send keep-alives. A path that is silent for SilenceLimit is given
-// up; the client then tries a new socket to the same address at once. If that
-// succeeds, only the old path was silent (KindSilent, a device on the path may
-// have lost its state). If it fails, the peer counts as gone (KindGone) and the
-// next address is tried.
+// Both ends send keep-alives. A connection that receives no packet for
+// SilenceLimit is closed, and the client dials the same address from a new socket
+// at once. If that succeeds, only the old path had failed (KindSilent; a NAT or
+// firewall on the path may have lost its state). If it fails, the peer counts as
+// gone (KindGone) and the next address is tried.
 package link
 
 import (
@@ -44,30 +44,32 @@
 )
 
 const (
-	// MaxFrame is the largest frame in bytes. A document of 1 MiB and its
-	// envelope fit.
+	// MaxFrame is the size of the largest frame in bytes. A document of 1 MiB
+	// and its envelope fit.
 	MaxFrame = 2 << 20
 
-	// SilenceLimit is the time within which a silent path is noticed. An idle
-	// timeout starts anew at the first keep-alive sent after the last packet
-	// received, so the limit is keepAlivePeriod + idleTimeout and a margin.
+	// SilenceLimit is the time within which a path that delivers no packets is
+	// detected. The idle timeout restarts at the first keep-alive sent after the
+	// last packet received, so the limit is keepAlivePeriod + idleTimeout and a
+	// margin.
 	SilenceLimit = 3 * time.Second
 
 	keepAlivePeriod = 800 * time.Millisecond
 	idleTimeout     = 2 * time.Second
 
-	// handshakeTimeout bounds the wait for a packet during a handshake; the
-	// whole handshake takes at most twice that.
+	// handshakeTimeout limits the time between packets during a handshake. The
+	// whole handshake takes at most twice as long.
 	handshakeTimeout = time.Second
 
-	// dialTimeout bounds the dial of one address, so that a call of 2 s reaches
-	// a second one.
+	// dialTimeout limits the dial of one address, so that a call with a timeout
+	// of 2 s tries a second address.
 	dialTimeout = time.Second
 
-	// maxStreams bounds the calls and streams in progress on one connection.
+	// maxStreams limits the calls and server streams in progress on one connection.
 	maxStreams = 1024
 
-	// maxConnectionWindow and maxStreamWindow bound what a connection buffers.
+	// maxConnectionWindow and maxStreamWindow are the flow control windows in
+	// bytes. They limit the received data that a connection buffers.
 	maxConnectionWindow = 4 * MaxFrame
 	maxStreamWindow     = MaxFrame
 )
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// testLimit ends a test that hangs; no assertion depends on it.
-	testLimit = 30 * time.Second
-	grace     = 5 * time.Second
+	// testTimeout ends a test that hangs; no assertion depends on its value.
+	testTimeout   = 30 * time.Second
+	shutdownGrace = 5 * time.Second
 )
 
 var (
@@ -40,18 +40,18 @@
 	return nil
 }
 
-// network issues identities and starts servers and clients.
-type network struct {
+// testNetwork issues certificates and starts servers and clients.
+type testNetwork struct {
 	t         *testing.T
 	ctx       context.Context
 	authority *identity.Authority
 	directory string
 }
 
-func newNetwork(t *testing.T) *network {
+func newTestNetwork(t *testing.T) *testNetwork {
 	t.Helper()
 
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 
 	directory := t.TempDir()
@@ -59,10 +59,10 @@
 		filepath.Join(directory, "ca.pem"), filepath.Join(directory, "ca.key"), "ca", time.Now())
 	is.New(t).NoErr(err)
 
-	return &network{t: t, ctx: ctx, authority: authority, directory: directory}
+	return &testNetwork{t: t, ctx: ctx, authority: authority, directory: directory}
 }
 
-func (n *network) store(role identity.Role, name string) *identity.Store {
+func (n *testNetwork) store(role identity.Role, name string) *identity.Store {
 	n.t.Helper()
 
 	files := identity.Files{
@@ -79,8 +79,9 @@
 	return store
 }
 
-// serve starts a server and returns a function that stops it and waits.
-func (n *network) serve(name string, register func(*link.Server)) (*link.Server, func()) {
+// serve starts a server and returns it with a function that stops it and waits
+// for Serve to return.
+func (n *testNetwork) serve(name string, register func(*link.Server)) (*link.Server, func()) {
 	n.t.Helper()
 
 	server, err := link.Listen(loopback, link.ServerOptions{
@@ -97,7 +98,7 @@
 	go func() {
 		defer close(done)
 
-		server.Serve(ctx, grace)
+		server.Serve(ctx, shutdownGrace)
 	}()
 
 	stop := func() { cancel(); <-done }
@@ -106,7 +107,7 @@
 	return server, stop
 }
 
-func (n *network) dial(name string, addresses ...netip.AddrPort) *link.Client {
+func (n *testNetwork) dial(name string, addresses ...netip.AddrPort) *link.Client {
 	n.t.Helper()
 
 	client := link.Dial(link.ClientOptions{
@@ -126,10 +127,10 @@
 	return &received, request.Decode(&received)
 }
 
-// Guards against errors that lose their kind on the way, and against a peer
-// that is not identified.
+// Guards against handler errors that reach the caller with a different kind, and
+// against a handler that does not get the caller's identity.
 func TestCall(t *testing.T) {
-	n := newNetwork(t)
+	n := newTestNetwork(t)
 	server, _ := n.serve("c1", func(s *link.Server) {
 		s.Handle("echo", func(ctx context.Context, request *link.Request) (any, error) {
 			reply, err := echo(ctx, request)
@@ -147,7 +148,7 @@
 		})
 		s.Handle("deadline", func(ctx context.Context, _ *link.Request) (any, error) {
 			deadline, ok := ctx.Deadline()
-			if !ok || time.Until(deadline) > testLimit {
+			if !ok || time.Until(deadline) > testTimeout {
 				return nil, errors.New("no deadline")
 			}
 
@@ -189,10 +190,10 @@
 	}
 }
 
-// Guards against a caller without the right role.
+// Guards against a server that accepts a caller whose role its policy excludes.
 func TestPolicy(t *testing.T) {
 	is := is.New(t)
-	n := newNetwork(t)
+	n := newTestNetwork(t)
 	server, _ := n.serve("c1", func(s *link.Server) { s.Handle("echo", echo) })
 	client := link.Dial(link.ClientOptions{
 		Addresses: []netip.AddrPort{server.Address()},
@@ -206,11 +207,11 @@
 	is.True(client.Call(ctx, "echo", message{}, nil) != nil)
 }
 
-// Guards against a client that stays at a follower, or at a server that shuts
-// down.
+// Guards against a client that keeps calling a follower or a server that has
+// shut down instead of the leader.
 func TestRedirect(t *testing.T) {
 	is := is.New(t)
-	n := newNetwork(t)
+	n := newTestNetwork(t)
 	leader, _ := n.serve("leader", func(s *link.Server) { s.Handle("echo", echo) })
 	follower, stop := n.serve("follower", func(s *link.Server) {
 		s.Handle("echo", func(context.Context, *link.Request) (any, error) { return nil, link.Redirect(leader.Address()) })
@@ -224,15 +225,15 @@
 	is.Equal(address, leader.Address())
 	stop()
 
-	other := n.dial("other", follower.Address(), leader.Address()) // the first address is dead
+	other := n.dial("other", follower.Address(), leader.Address()) // the server at the first address has stopped
 	is.NoErr(other.Call(n.ctx, "echo", message{}, nil))
 }
 
-// Guards against a stream that outlives its caller, and against items after
-// the end.
+// Guards against a stream handler that keeps running after the caller has closed
+// the stream, and against items after the end of a stream.
 func TestStream(t *testing.T) {
 	is := is.New(t)
-	n := newNetwork(t)
+	n := newTestNetwork(t)
 	ended := make(chan struct{})
 	server, _ := n.serve("c1", func(s *link.Server) {
 		s.HandleStream("three", func(_ context.Context, _ *link.Request, send func(any) error) error {
@@ -276,13 +277,13 @@
 	is.NoErr(err)
 	stream.Close()
 	<-ended
-	is.NoErr(n.ctx.Err()) // the caller ended it, not the end of the test
+	is.NoErr(n.ctx.Err()) // the caller ended the stream, not the timeout of the test
 }
 
-// Guards against a planned stop that breaks a call in progress.
+// Guards against a graceful shutdown that aborts a call in progress.
 func TestGracefulClose(t *testing.T) {
 	is := is.New(t)
-	n := newNetwork(t)
+	n := newTestNetwork(t)
 	started, release := make(chan struct{}), make(chan struct{})
 	server, stop := n.serve("c1", func(s *link.Server) {
 		s.Handle("echo", echo)
@@ -307,7 +308,7 @@
 
 	go func() { stop(); close(stopped) }()
 
-	for { // the server refuses new calls once it closes
+	for { // until the closing server rejects new calls
 		ctx, cancel := context.WithTimeout(n.ctx, 100*time.Millisecond)
 		err := client.Call(ctx, "echo", message{}, nil)
 
@@ -324,24 +325,25 @@
 	<-stopped
 }
 
-// Guards against a dead first address that uses up the time of every call, so
-// that an instance cannot renew its lease although other controllers live.
+// Guards against an unresponsive first address on which every call spends its
+// whole timeout, so that an instance cannot renew its lease although other
+// controllers are available.
 func TestDeadAddress(t *testing.T) {
 	is := is.New(t)
-	n := newNetwork(t)
+	n := newTestNetwork(t)
 	server, _ := n.serve("c1", func(s *link.Server) { s.Handle("echo", echo) })
 
-	dead, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(loopback))
+	unresponsive, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(loopback))
 	is.NoErr(err)
 
-	defer dead.Close()
+	defer unresponsive.Close()
 
-	client := n.dial("operator", dead.LocalAddr().(*net.UDPAddr).AddrPort(), server.Address())
+	client := n.dial("operator", unresponsive.LocalAddr().(*net.UDPAddr).AddrPort(), server.Address())
 
 	reached := false
 	for range 20 {
-		// Less than the dial of the dead address takes.
-		ctx, cancel := context.WithTimeout(n.ctx, dialLimit/2)
+		// Shorter than the dial of the unresponsive address takes.
+		ctx, cancel := context.WithTimeout(n.ctx, dialTimeout/2)
 		reached = reached || client.Call(ctx, "echo", message{}, nil) == nil
 
 		cancel()
@@ -350,4 +352,4 @@
 	is.True(reached) // a later call tries the other address first
 }
 
-const dialLimit = time.Second
+const dialTimeout = time.Second
--- a/internal/transport/link/metrics.go
+++ b/internal/transport/link/metrics.go
@@ -2,8 +2,8 @@
 
 import "expvar"
 
-// metrics counts, by method: calls, bytes received and bytes sent; and, for
-// all clients of the process, dials, silent paths, lost peers and redirects.
+// metrics counts the frames and bytes received and sent by method, and the dials,
+// failed paths, lost peers and redirects of all clients of the process.
 var metrics = expvar.NewMap("link")
 
 const (
@@ -13,9 +13,9 @@
 	metricRedirects = "redirects"
 )
 
-// count adds one call or item of a method. A server counts known methods
-// only, so a peer cannot add names.
-func count(method string, received, sent int) {
+// countFrame counts one frame received or sent for a method. A server counts
+// registered methods only, so that a peer cannot add names to the metrics.
+func countFrame(method string, received, sent int) {
 	if received > 0 {
 		metrics.Add(method+".received_frames", 1)
 		metrics.Add(method+".received_bytes", int64(received))
--- a/internal/transport/link/server.go
+++ b/internal/transport/link/server.go
@@ -14,7 +14,7 @@
 	"jayspindle/internal/transport/identity"
 )
 
-// Handler answers a unary call.
+// Handler returns the reply of a unary call.
 type Handler func(ctx context.Context, request *Request) (any, error)
 
 // StreamHandler sends the items of a server stream until it returns.
@@ -29,8 +29,8 @@
 // Method returns the name of the method.
 func (r *Request) Method() string { return r.method }
 
-// Decode decodes the request and, if the message has a method Check() error,
-// checks it. Errors have KindInvalid.
+// Decode decodes the request into message and, if message has a method
+// Check() error, calls it. Errors have KindInvalid.
 func (r *Request) Decode(message any) error { return decode(r.encoded, message) }
 
 // Size returns the encoded size in bytes.
@@ -57,7 +57,8 @@
 	Logger   *slog.Logger
 }
 
-// Server accepts links. Methods are registered before Serve.
+// Server accepts connections and answers their calls. Methods must be registered
+// before Serve is called.
 type Server struct {
 	logger    *slog.Logger
 	socket    *net.UDPConn
@@ -67,7 +68,7 @@
 	streams   map[string]StreamHandler
 
 	connections conc.WaitGroup
-	calls       running
+	calls       callTracker
 }
 
 // Listen binds an address. Port 0 picks a free port, see Address.
@@ -105,35 +106,36 @@
 // HandleStream registers a server stream.
 func (s *Server) HandleStream(method string, handler StreamHandler) { s.streams[method] = handler }
 
-// Serve answers calls until ctx ends. It then refuses new calls with
+// Serve answers calls until ctx ends. It then rejects new calls with
 // KindClosing, ends server streams with KindClosing, waits up to grace for
-// running unary calls, and closes all links. A panic of a handler ends the
-// server too and is raised again by Serve.
+// running unary calls, and closes all connections. A panic in a handler also
+// stops the server, and Serve panics with it again.
 func (s *Server) Serve(ctx context.Context, grace time.Duration) error {
-	// work lives as long as the calls that are finished after ctx has ended.
-	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopWork()
+	// callsCtx outlives ctx, so that running calls can finish while the server
+	// closes.
+	callsCtx, cancelCalls := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelCalls()
 
-	accepting, stop := context.WithCancel(ctx)
-	defer stop()
+	acceptCtx, stopAccepting := context.WithCancel(ctx)
+	defer stopAccepting()
 
 	for {
-		connection, err := s.listener.Accept(accepting)
+		connection, err := s.listener.Accept(acceptCtx)
 		if err != nil {
 			break
 		}
 
 		s.connections.Go(func() {
-			defer stopOnPanic(stop)
+			defer stopOnPanic(stopAccepting)
 
-			s.serve(work, accepting, stop, connection)
+			s.serveConnection(callsCtx, acceptCtx, stopAccepting, connection)
 		})
 	}
 
-	s.calls.wait(grace)
-	stopWork()
-	// Each connection tells its peer that it closes. The transport alone would
-	// leave the peers to notice the silence.
+	s.calls.drain(grace)
+	cancelCalls()
+	// Each connection sends a close frame to its peer. If only the transport were
+	// closed, the peers would have to wait for their idle timeouts.
 	s.connections.Wait()
 
 	err := s.transport.Close()
@@ -148,8 +150,8 @@
 	return nil
 }
 
-// stopOnPanic ends the server at once when a handler panics; the wait group
-// raises the panic again when Serve waits for it.
+// stopOnPanic shuts the server down when a handler panics. The wait group
+// panics again with the same cause when Serve waits for it.
 func stopOnPanic(stop context.CancelFunc) {
 	if cause := recover(); cause != nil {
 		stop()
@@ -157,11 +159,14 @@
 	}
 }
 
-// serve accepts the calls of one connection until the connection ends.
-func (s *Server) serve(work, accepting context.Context, stop context.CancelFunc, connection *quic.Conn) {
+// serveConnection accepts the calls of one connection until the connection ends.
+func (s *Server) serveConnection(
+	callsCtx, acceptCtx context.Context, stopAccepting context.CancelFunc, connection *quic.Conn,
+) {
 	peer, err := identity.Peer(connection.ConnectionState().TLS)
 	if err != nil {
-		s.logger.Warn("a link is refused", "peer", connection.RemoteAddr().String(), "error", err)
+		s.logger.Warn("connection refused: peer certificate has no valid identity",
+			"peer", connection.RemoteAddr().String(), "error", err)
 		connection.CloseWithError(codeClosed, string(KindDenied)) //nolint:errcheck // the connection is given up
 
 		return
@@ -171,7 +176,7 @@
 	defer calls.Wait()
 
 	for {
-		stream, err := connection.AcceptStream(work)
+		stream, err := connection.AcceptStream(callsCtx)
 		if err != nil {
 			connection.CloseWithError(codeClosed, string(KindClosing)) //nolint:errcheck // the connection has ended
 
@@ -179,61 +184,63 @@
 		}
 
 		calls.Go(func() {
-			defer stopOnPanic(stop)
+			defer stopOnPanic(stopAccepting)
 
-			s.answer(context.WithValue(work, peerKey{}, peer), accepting, stream)
+			s.answer(context.WithValue(callsCtx, peerKey{}, peer), acceptCtx, stream)
 		})
 	}
 }
 
-// running counts unary calls in progress and lets a closing server wait.
-type running struct {
+// callTracker counts the unary calls in progress, so that a closing server can
+// wait for them.
+type callTracker struct {
 	mutex  sync.Mutex
 	count  int
 	closed bool
 	idle   chan struct{}
 }
 
-// begin reports false once the server is closing.
-func (r *running) begin() bool {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
+// begin counts a new call. It returns false if the server is closing.
+func (t *callTracker) begin() bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 
-	if r.closed {
+	if t.closed {
 		return false
 	}
 
-	r.count++
+	t.count++
 
 	return true
 }
 
-func (r *running) end() {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
+func (t *callTracker) end() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 
-	r.count--
-	if r.closed && r.count == 0 {
-		close(r.idle)
+	t.count--
+	if t.closed && t.count == 0 {
+		close(t.idle)
 	}
 }
 
-// wait refuses new calls and returns when none is running or grace is over.
-func (r *running) wait(grace time.Duration) {
-	r.mutex.Lock()
-	r.closed = true
-	r.idle = make(chan struct{})
+// drain rejects new calls and returns when no call is in progress or the grace
+// period is over.
+func (t *callTracker) drain(grace time.Duration) {
+	t.mutex.Lock()
+	t.closed = true
+	t.idle = make(chan struct{})
 
-	if r.count == 0 {
-		close(r.idle)
+	if t.count == 0 {
+		close(t.idle)
 	}
-	r.mutex.Unlock()
+	t.mutex.Unlock()
 
 	timer := time.NewTimer(grace)
 	defer timer.Stop()
 
 	select {
-	case <-r.idle:
+	case <-t.idle:
 	case <-timer.C:
 	}
 }
--- a/internal/transport/link/session.go
+++ b/internal/transport/link/session.go
@@ -13,7 +13,7 @@
 	"jayspindle/internal/transport/identity"
 )
 
-// session is one connection of a client, with a socket of its own.
+// session is one connection of a client on its own UDP socket.
 type session struct {
 	address    netip.AddrPort
 	peer       identity.Identity
@@ -21,13 +21,13 @@
 	transport  *quic.Transport
 	connection *quic.Conn
 
-	mutex   sync.Mutex
-	users   int
-	retired bool
+	mutex     sync.Mutex
+	openCalls int
+	retired   bool
 }
 
 func dialSession(ctx context.Context, address netip.AddrPort, config *tls.Config) (*session, error) {
-	socket, err := net.ListenUDP("udp", unspecified(address))
+	socket, err := net.ListenUDP("udp", wildcardAddress(address))
 	if err != nil {
 		return nil, &Error{operation: operationDial, kind: KindUnreachable, err: err}
 	}
@@ -51,8 +51,9 @@
 	return dialed, nil
 }
 
-// unspecified returns a local address with a free port, of the same family.
-func unspecified(remote netip.AddrPort) *net.UDPAddr {
+// wildcardAddress returns the unspecified address of the remote address's family,
+// with port 0.
+func wildcardAddress(remote netip.AddrPort) *net.UDPAddr {
 	if remote.Addr().Unmap().Is4() {
 		return net.UDPAddrFromAddrPort(netip.AddrPortFrom(netip.IPv4Unspecified(), 0))
 	}
@@ -62,14 +63,14 @@
 
 func (s *session) alive() bool { return s.connection.Context().Err() == nil }
 
-// retire closes the session once no call uses it any more.
+// retire closes the session as soon as it has no open calls.
 func (s *session) retire() {
 	s.mutex.Lock()
 	s.retired = true
-	last := s.users == 0
+	unused := s.openCalls == 0
 	s.mutex.Unlock()
 
-	if last {
+	if unused {
 		s.close()
 	}
 }
@@ -78,21 +79,21 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	s.users++
+	s.openCalls++
 }
 
 func (s *session) release() {
 	s.mutex.Lock()
-	s.users--
-	last := s.retired && s.users == 0
+	s.openCalls--
+	unused := s.retired && s.openCalls == 0
 	s.mutex.Unlock()
 
-	if last {
+	if unused {
 		s.close()
 	}
 }
 
-// close may be called more than once.
+// close closes the connection and its socket. It may be called more than once.
 func (s *session) close() {
 	if s.connection != nil {
 		s.connection.CloseWithError(codeClosed, "") //nolint:errcheck // the connection is given up
@@ -102,16 +103,17 @@
 	s.socket.Close()    //nolint:errcheck // the socket is given up
 }
 
-// exchange is one call in progress: one QUIC stream.
+// exchange is one call in progress on its own QUIC stream.
 type exchange struct {
-	method string
-	stream *quic.Stream
-	stop   func() bool
-	once   sync.Once
-	owner  *session
+	method     string
+	stream     *quic.Stream
+	stopCancel func() bool
+	closeOnce  sync.Once
+	session    *session
 }
 
-// open sends a request. If ctx ends, the exchange is cancelled at both ends.
+// open starts a call by sending its request. When ctx ends, the QUIC stream is
+// cancelled in both directions.
 func (s *session) open(ctx context.Context, method string, request any) (*exchange, error) {
 	s.acquire()
 
@@ -122,8 +124,8 @@
 		return nil, classify(method, err)
 	}
 
-	opened := &exchange{method: method, stream: stream, owner: s}
-	opened.stop = context.AfterFunc(ctx, func() {
+	opened := &exchange{method: method, stream: stream, session: s}
+	opened.stopCancel = context.AfterFunc(ctx, func() {
 		stream.CancelRead(codeCanceled)
 		stream.CancelWrite(codeCanceled)
 	})
@@ -134,9 +136,9 @@
 	}
 
 	if err := opened.send(call, request); err != nil {
-		opened.end()
+		opened.close()
 
-		return nil, opened.failure(ctx, err)
+		return nil, opened.wrapError(ctx, err)
 	}
 
 	return opened, nil
@@ -145,7 +147,7 @@
 func (e *exchange) send(values ...any) error {
 	for _, value := range values {
 		written, err := writeFrame(e.stream, value)
-		count(e.method, 0, written)
+		countFrame(e.method, 0, written)
 
 		if err != nil {
 			return err
@@ -161,53 +163,53 @@
 
 	encoded, err := readFrame(e.stream)
 	if err != nil {
-		return result, e.failure(ctx, err)
+		return result, e.wrapError(ctx, err)
 	}
 
-	count(e.method, len(encoded), 0)
+	countFrame(e.method, len(encoded), 0)
 
 	if err := decode(encoded, &result); err != nil {
 		return result, err
 	}
 
-	return result, result.failed(e.method)
+	return result, result.toError(e.method)
 }
 
-// failure prefers the reason why the connection or the context ended to the
-// error of the stream that follows from it.
-func (e *exchange) failure(ctx context.Context, err error) error {
+// wrapError returns the reason why the context or the connection ended, if one of
+// them has ended, instead of the stream error that results from it.
+func (e *exchange) wrapError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return &Error{operation: e.method, kind: KindDeadline, err: context.Cause(ctx)}
 	}
 
 	//nolint:contextcheck // the connection has a context of its own
-	if cause := context.Cause(e.owner.connection.Context()); cause != nil {
+	if cause := context.Cause(e.session.connection.Context()); cause != nil {
 		err = cause
 	}
 
 	return classify(e.method, err)
 }
 
-// end closes the caller's side, which tells the server that the reply has
-// been read. What has not been read yet is cancelled.
-func (e *exchange) end() {
-	e.once.Do(func() {
-		e.stop()
+// close closes the caller's side of the stream, which tells the server that the
+// reply has been read, and discards data that has not been read.
+func (e *exchange) close() {
+	e.closeOnce.Do(func() {
+		e.stopCancel()
 		e.stream.Close() //nolint:errcheck // a cancelled stream is closed already
 		e.stream.CancelRead(codeCanceled)
-		e.owner.release()
+		e.session.release()
 	})
 }
 
 // call runs a unary call.
 func (s *session) call(ctx context.Context, method string, request, reply any) error {
-	running, err := s.open(ctx, method, request)
+	opened, err := s.open(ctx, method, request)
 	if err != nil {
 		return err
 	}
-	defer running.end()
+	defer opened.close()
 
-	result, err := running.next(ctx)
+	result, err := opened.next(ctx)
 	if err != nil {
 		return err
 	}
@@ -219,8 +221,8 @@
 	return decode(result.Body, reply)
 }
 
-// Stream is a server stream at its client. Next and Close must not be called
-// concurrently.
+// Stream is the client's side of a server stream. Next and Close must not be
+// called concurrently.
 type Stream struct {
 	client   *Client
 	session  *session
@@ -229,7 +231,8 @@
 	ended    bool
 }
 
-// Next decodes the next item. It returns false after the last one.
+// Next waits for the next item and decodes it into item. It returns false after
+// the last one.
 func (s *Stream) Next(item any) (bool, error) {
 	if s.ended {
 		return false, nil
@@ -239,7 +242,7 @@
 	if err != nil {
 		s.Close()
 
-		return false, s.client.afterFailure(s.ctx, s.session, err)
+		return false, s.client.handleFailure(s.ctx, s.session, err)
 	}
 
 	if result.End {
@@ -254,8 +257,8 @@
 // Peer returns the identity of the server.
 func (s *Stream) Peer() identity.Identity { return s.session.peer }
 
-// Close ends the stream at both ends.
+// Close cancels the stream at both ends.
 func (s *Stream) Close() {
 	s.ended = true
-	s.exchange.end()
+	s.exchange.close()
 }
--- a/internal/transport/link/silence_test.go
+++ b/internal/transport/link/silence_test.go
@@ -12,90 +12,91 @@
 	"jayspindle/internal/transport/link"
 )
 
-// device forwards datagrams between clients and one server, as a stateful
-// device on the path does. It can lose the state of all present flows.
-type device struct {
+// middlebox forwards datagrams between clients and one server, as a NAT or a
+// stateful firewall does. It can lose the state of its current flows.
+type middlebox struct {
 	socket *net.UDPConn
 	server netip.AddrPort
 
-	mutex  sync.Mutex
-	flows  map[netip.AddrPort]*net.UDPConn
-	silent map[netip.AddrPort]bool
-	dead   bool
+	mutex   sync.Mutex
+	flows   map[netip.AddrPort]*net.UDPConn
+	dropped map[netip.AddrPort]bool
+	dropAll bool
 }
 
-func newDevice(t *testing.T, server netip.AddrPort) *device {
+func newMiddlebox(t *testing.T, server netip.AddrPort) *middlebox {
 	t.Helper()
 
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(loopback))
 	is.New(t).NoErr(err)
 
-	d := &device{
+	m := &middlebox{
 		socket: socket, server: server,
-		flows: make(map[netip.AddrPort]*net.UDPConn), silent: make(map[netip.AddrPort]bool),
+		flows: make(map[netip.AddrPort]*net.UDPConn), dropped: make(map[netip.AddrPort]bool),
 	}
 	t.Cleanup(func() {
 		socket.Close()
-		d.mutex.Lock()
-		defer d.mutex.Unlock()
+		m.mutex.Lock()
+		defer m.mutex.Unlock()
 
-		for _, flow := range d.flows {
+		for _, flow := range m.flows {
 			flow.Close()
 		}
 	})
 
-	go d.forward()
+	go m.forwardToServer()
 
-	return d
+	return m
 }
 
-// lose drops all later datagrams of the present flows, or of all flows.
-func (d *device) lose(all bool) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
+// dropFlows drops all later datagrams of the current flows and, if all is set, of
+// all future flows.
+func (m *middlebox) dropFlows(all bool) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 
-	d.dead = all
-	for client := range d.flows {
-		d.silent[client] = true
+	m.dropAll = all
+	for client := range m.flows {
+		m.dropped[client] = true
 	}
 }
 
-func (d *device) passes(client netip.AddrPort) bool {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
+func (m *middlebox) forwards(client netip.AddrPort) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 
-	return !d.dead && !d.silent[client]
+	return !m.dropAll && !m.dropped[client]
 }
 
-func (d *device) forward() {
+func (m *middlebox) forwardToServer() {
 	buffer := make([]byte, 2048)
 
 	for {
-		size, client, err := d.socket.ReadFromUDPAddrPort(buffer)
+		size, client, err := m.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
 
-		if flow := d.flow(client); flow != nil && d.passes(client) {
+		if flow := m.flow(client); flow != nil && m.forwards(client) {
 			flow.Write(buffer[:size])
 		}
 	}
 }
 
-func (d *device) flow(client netip.AddrPort) *net.UDPConn {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
+func (m *middlebox) flow(client netip.AddrPort) *net.UDPConn {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 
-	if flow, ok := d.flows[client]; ok {
+	if flow, ok := m.flows[client]; ok {
 		return flow
 	}
 
-	flow, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(d.server))
+	flow, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(m.server))
 	if err != nil {
 		return nil
 	}
 
-	d.flows[client] = flow
+	m.flows[client] = flow
 
 	go func() {
 		buffer := make([]byte, 2048)
@@ -106,8 +107,8 @@
 				return
 			}
 
-			if d.passes(client) {
-				d.socket.WriteToUDPAddrPort(buffer[:size], client)
+			if m.forwards(client) {
+				m.socket.WriteToUDPAddrPort(buffer[:size], client)
 			}
 		}
 	}()
@@ -115,8 +116,8 @@
 	return flow
 }
 
-// Guards against a connection that stays silent for good, and against a live
-// peer that counts as gone because one path to it is silent.
+// Guards against a call that hangs forever on a path that drops all packets, and
+// against reporting a reachable peer as gone because one path to it failed.
 func TestSilence(t *testing.T) {
 	for name, c := range map[string]struct {
 		all  bool
@@ -129,7 +130,7 @@
 			t.Parallel()
 
 			is := is.New(t)
-			n := newNetwork(t)
+			n := newTestNetwork(t)
 			started := make(chan struct{}, 1)
 			server, _ := n.serve("c1", func(s *link.Server) {
 				s.Handle("echo", echo)
@@ -140,7 +141,7 @@
 					return nil, ctx.Err()
 				})
 			})
-			path := newDevice(t, server.Address())
+			path := newMiddlebox(t, server.Address())
 			client := n.dial("operator", path.socket.LocalAddr().(*net.UDPAddr).AddrPort())
 
 			is.NoErr(client.Call(n.ctx, "echo", message{}, nil))
@@ -150,7 +151,7 @@
 			go func() { result <- client.Call(n.ctx, "hang", message{}, nil) }()
 
 			<-started
-			path.lose(c.all)
+			path.dropFlows(c.all)
 			is.Equal(link.KindOf(<-result), c.kind)
 
 			if !c.all {
