--- a/internal/testing/report/definitions.go
+++ b/internal/testing/report/definitions.go
@@ -2,30 +2,30 @@
 
 // The names of the measures.
 const (
-	brokenPlanned     = "broken-flows-planned"
-	brokenLoss        = "broken-flows-loss"
-	imbalanceRequests = "imbalance-requests"
-	imbalanceBusy     = "imbalance-requests-busy"
-	imbalanceUnequal  = "imbalance-unequal-speed"
-	slowestUnequal    = "p99-unequal-speed"
-	imbalanceFlows    = "imbalance-flows"
-	leastUrgentInTime = "least-urgent-flood-urgent-in-time"
-	leastOthers       = "least-urgent-flood-others-in-time"
-	mostShare         = "most-urgent-flood-share"
-	mostOthers        = "most-urgent-flood-others-in-time"
-	ranTwice          = "ran-twice"
-	silentlyLost      = "silently-lost"
-	endedUnknown      = "ended-unknown"
-	claimViolations   = "claim-violations"
-	keysRan           = "keys-ran"
-	repliesLost       = "replies-lost"
-	repliesLate       = "replies-late"
-	forwardingCost    = "forwarding-cost"
-	forwardingTime    = "forwarding-time"
-	allocations       = "allocations"
+	brokenFlowsPlanned           = "broken-flows-planned"
+	brokenFlowsLoss              = "broken-flows-loss"
+	imbalanceRequests            = "imbalance-requests"
+	imbalanceBusy                = "imbalance-requests-busy"
+	imbalanceUnequalSpeed        = "imbalance-unequal-speed"
+	p99UnequalSpeed              = "p99-unequal-speed"
+	imbalanceFlows               = "imbalance-flows"
+	leastUrgentFloodUrgentInTime = "least-urgent-flood-urgent-in-time"
+	leastUrgentFloodOthersInTime = "least-urgent-flood-others-in-time"
+	mostUrgentFloodShare         = "most-urgent-flood-share"
+	mostUrgentFloodOthersInTime  = "most-urgent-flood-others-in-time"
+	ranTwice                     = "ran-twice"
+	silentlyLost                 = "silently-lost"
+	endedUnknown                 = "ended-unknown"
+	claimViolations              = "claim-violations"
+	keysRan                      = "keys-ran"
+	repliesLost                  = "replies-lost"
+	repliesLate                  = "replies-late"
+	forwardingCost               = "forwarding-cost"
+	forwardingTime               = "forwarding-time"
+	allocations                  = "allocations"
 )
 
-// The names of the policies.
+// The names of the compared policies.
 const (
 	byConnectionID   = "connection ID"
 	byConsistentHash = "consistent hash"
@@ -50,8 +50,8 @@
 	bareLoop         = "bare loop"
 )
 
-// inUse holds the policies of the system. All others are baselines.
-var inUse = map[string]bool{
+// policiesInUse holds the policies that the system uses. All others are baselines.
+var policiesInUse = map[string]bool{
 	byConnectionID: true, picker: true, boundedHash: true, scheduler: true, claims: true, rotation: true,
 	balancerPath: true,
 }
@@ -60,43 +60,43 @@
 
 func atLeast(limit float64) *Target { return &Target{Limit: limit, AtLeast: true} }
 
-// definitions returns the measures of section 2 of the design page without
-// figures. The target of late replies is the one of section 5.7.
+// definitions returns the measures of section 2 of the design page, without
+// figures. The target for late replies is from section 5.7.
 func definitions() []Measure {
 	return []Measure{
 		{
-			Name: brokenPlanned, Title: "Broken flows, planned changes", Unit: "% of flows opened",
+			Name: brokenFlowsPlanned, Title: "Broken flows, planned changes", Unit: "% of flows opened",
 			Target: atMost(0), decimals: 2,
 		}, {
-			Name: brokenLoss, Title: "Broken flows of the other agents, one agent lost without notice",
+			Name: brokenFlowsLoss, Title: "Broken flows of the other agents, one agent lost without notice",
 			Unit: "% of their flows", Target: atMost(0), decimals: 2,
 		}, {
 			Name: imbalanceRequests, Title: "Imbalance of requests at 60% load, delayed and misleading reports",
-			Unit: "busiest / mean", Target: atMost(1.05), decimals: 3, base: 1, top: 1.08,
+			Unit: "busiest / mean", Target: atMost(1.05), decimals: 3, axisMin: 1, axisMax: 1.08,
 		}, {
 			Name: imbalanceBusy, Title: "Imbalance of requests at 90% load, delayed and misleading reports",
-			Unit: "busiest / mean", Target: atMost(1.05), decimals: 3, base: 1, top: 1.08,
+			Unit: "busiest / mean", Target: atMost(1.05), decimals: 3, axisMin: 1, axisMax: 1.08,
 		}, {
-			Name: imbalanceUnequal, Title: "Imbalance of requests, every third backend server at half speed",
-			Unit: "busiest / mean", decimals: 3, base: 1, top: 1.2,
+			Name: imbalanceUnequalSpeed, Title: "Imbalance of requests, every third backend server at half speed",
+			Unit: "busiest / mean", decimals: 3, axisMin: 1, axisMax: 1.2,
 		}, {
-			Name: slowestUnequal, Title: "Time to answer, 99th percentile, every third backend server at half speed",
-			Unit: "ms", decimals: 0, top: 1600,
+			Name: p99UnequalSpeed, Title: "Time to answer, 99th percentile, every third backend server at half speed",
+			Unit: "ms", decimals: 0, axisMax: 1600,
 		}, {
 			Name: imbalanceFlows, Title: "Imbalance of flows, delayed and misleading reports",
-			Unit: "busiest / mean", Target: atMost(1.25), decimals: 3, base: 1, top: 1.4,
+			Unit: "busiest / mean", Target: atMost(1.25), decimals: 3, axisMin: 1, axisMax: 1.4,
 		}, {
-			Name: leastUrgentInTime, Title: "Flood of the least urgent class: most urgent class in time",
-			Unit: "% of its requests", Target: atLeast(99), decimals: 2, top: 100,
+			Name: leastUrgentFloodUrgentInTime, Title: "Flood of the least urgent class: most urgent class in time",
+			Unit: "% of its requests", Target: atLeast(99), decimals: 2, axisMax: 100,
 		}, {
-			Name: leastOthers, Title: "Flood of the least urgent class: all other classes in time",
-			Unit: "% of their requests", decimals: 2, top: 100,
+			Name: leastUrgentFloodOthersInTime, Title: "Flood of the least urgent class: all other classes in time",
+			Unit: "% of their requests", decimals: 2, axisMax: 100,
 		}, {
-			Name: mostShare, Title: "Flood of the most urgent class: minimum share of the least urgent kept",
-			Unit: "% of minimum share", Target: atLeast(100), decimals: 1, top: 120,
+			Name: mostUrgentFloodShare, Title: "Flood of the most urgent class: minimum share of the least urgent kept",
+			Unit: "% of minimum share", Target: atLeast(100), decimals: 1, axisMax: 120,
 		}, {
-			Name: mostOthers, Title: "Flood of the most urgent class: all other classes in time",
-			Unit: "% of their requests", decimals: 2, top: 100,
+			Name: mostUrgentFloodOthersInTime, Title: "Flood of the most urgent class: all other classes in time",
+			Unit: "% of their requests", decimals: 2, axisMax: 100,
 		}, {
 			Name: ranTwice, Title: "Non-idempotent requests run twice", Unit: "% of requests",
 			Target: atMost(0), decimals: 2,
@@ -110,7 +110,7 @@
 			Unit: "count", Target: atMost(0),
 		}, {
 			Name: keysRan, Title: "Non-idempotent requests that ran, a fault every 10 s", Unit: "% of requests",
-			decimals: 1, top: 100,
+			decimals: 1, axisMax: 100,
 		}, {
 			Name: repliesLost, Title: "Replies sent through a dead balancer", Unit: "% of replies sent", decimals: 2,
 		}, {
--- a/internal/testing/report/jobs_flows.go
+++ b/internal/testing/report/jobs_flows.go
@@ -7,35 +7,35 @@
 	"jayspindle/internal/testing/measure"
 )
 
-// zones is the number of availability zones of each deployment.
-var zones = map[string]int{"kitakyushu": 3, "magnolia": 4}
+// zoneCounts holds the number of availability zones of each deployment.
+var zoneCounts = map[string]int{"kitakyushu": 3, "magnolia": 4}
 
 const (
 	balancersPerZone = 2
 
-	// Views are up to 8 steps of 500 ms old, which is above the time in which
-	// they reach every instance.
-	flowsLag      = 8
-	plannedFlows  = 1000
-	plannedSteps  = 240 // 2 min
-	lossSteps     = 60
-	flowsPerAgent = 2000 // connections per backend server
-	replyFlows    = 300
-	replyDuration = 30 * time.Second
-	forwardTurns  = 1000 // batches of 64 datagrams
+	// Instances act on views that are up to 8 steps of 500 ms old, which is
+	// longer than a view takes to reach every instance.
+	viewLagSteps       = 8
+	flowCount          = 1000
+	plannedChangeSteps = 240 // 2 min
+	agentLossSteps     = 60
+	flowsPerAgent      = 2000 // connections to each backend server
+	replyFlows         = 300
+	replyDuration      = 30 * time.Second
+	forwardingBatches  = 1000 // of 64 datagrams each
 )
 
-// simulatedJobs returns the scenarios in simulated time.
+// simulatedJobs returns the scenarios that run in simulated time.
 func simulatedJobs() []job {
 	var jobs []job
 
 	for i, service := range measure.Services() {
-		ofService := []job{plannedJob(service), lossJob(service), claimJob(service)}
-		ofService = append(ofService, flowBalanceJobs(service)...)
-		ofService = append(ofService, imbalanceJobs(service)...)
-		ofService = append(ofService, floodJobs(service)...)
-		ofService = append(ofService, executionJobs(service)...)
-		jobs = append(jobs, shiftSeeds(ofService, i)...)
+		serviceJobs := []job{plannedJob(service), lossJob(service), claimJob(service)}
+		serviceJobs = append(serviceJobs, flowBalanceJobs(service)...)
+		serviceJobs = append(serviceJobs, imbalanceJobs(service)...)
+		serviceJobs = append(serviceJobs, floodJobs(service)...)
+		serviceJobs = append(serviceJobs, executionJobs(service)...)
+		jobs = append(jobs, shiftSeeds(serviceJobs, i)...)
 	}
 
 	for i, deployment := range measure.Deployments() {
@@ -45,16 +45,16 @@
 	return jobs
 }
 
-// seedStride is the distance between the seeds of two services. Services of
-// equal size would have equal figures with the same seeds.
+// seedStride is the distance between the seeds of two services or deployments.
+// With the same seeds, services of equal size would have equal figures.
 const seedStride = 1000
 
-func shiftSeeds(jobs []job, place int) []job {
+func shiftSeeds(jobs []job, index int) []job {
 	shifted := make([]job, 0, len(jobs))
 
 	for _, j := range jobs {
 		shifted = append(shifted, job{name: j.name, run: func(seed uint64) ([]observation, error) {
-			return j.run(seed + uint64(place)*seedStride)
+			return j.run(seed + uint64(index)*seedStride)
 		}})
 	}
 
@@ -72,24 +72,24 @@
 
 func percent(part, whole int) float64 { return 100 * float64(part) / float64(max(whole, 1)) }
 
-// flowsConfig describes the service beside another of the same size, so that
-// misdirected datagrams have somewhere to go.
+// flowsConfig returns a scenario with the service and a second one of the same
+// size, so that a misdirected datagram can reach an agent of another service.
 func flowsConfig(service measure.Deployment, seed uint64, steps int) measure.FlowsConfig {
 	return measure.FlowsConfig{
-		Seed: seed, Balancers: balancersPerZone * zones[service.Name], Services: 2, Agents: 2 * service.Agents,
-		Flows: plannedFlows, Steps: steps, Lag: flowsLag,
+		Seed: seed, Balancers: balancersPerZone * zoneCounts[service.Name], Services: 2, Agents: 2 * service.Agents,
+		Flows: flowCount, Steps: steps, Lag: viewLagSteps,
 	}
 }
 
 func plannedJob(service measure.Deployment) job {
 	return job{name: "planned changes, " + service.Service, run: func(seed uint64) ([]observation, error) {
-		got, err := measure.Flows(flowsConfig(service, seed, plannedSteps))
+		got, err := measure.Flows(flowsConfig(service, seed, plannedChangeSteps))
 		if err != nil {
 			return nil, err
 		}
 
 		broken := func(policy string, flows int) observation {
-			return observation{brokenPlanned, service.Service, policy, percent(flows, got.Opened)}
+			return observation{brokenFlowsPlanned, service.Service, policy, percent(flows, got.Opened)}
 		}
 
 		return []observation{
@@ -102,13 +102,13 @@
 
 func lossJob(service measure.Deployment) job {
 	return job{name: "loss of an agent, " + service.Service, run: func(seed uint64) ([]observation, error) {
-		got, err := measure.AgentLoss(flowsConfig(service, seed, lossSteps))
+		got, err := measure.AgentLoss(flowsConfig(service, seed, agentLossSteps))
 		if err != nil {
 			return nil, err
 		}
 
 		broken := func(policy string, s measure.Survivors) observation {
-			return observation{brokenLoss, service.Service, policy, percent(s.Broken, s.Flows)}
+			return observation{brokenFlowsLoss, service.Service, policy, percent(s.Broken, s.Flows)}
 		}
 
 		return []observation{
@@ -153,7 +153,7 @@
 		name := fmt.Sprintf("dead balancer, %s, %s", deployment, policy)
 		jobs = append(jobs, job{name: name, run: func(seed uint64) ([]observation, error) {
 			got, err := measure.Replies(measure.RepliesConfig{
-				Seed: seed, Balancers: balancersPerZone * zones[deployment], Flows: replyFlows,
+				Seed: seed, Balancers: balancersPerZone * zoneCounts[deployment], Flows: replyFlows,
 				Duration: replyDuration, LastSeen: policy == lastSeen,
 			})
 			if err != nil {
@@ -170,10 +170,10 @@
 	return jobs
 }
 
-func forwardingJob(place string, services, agents int) job {
-	return job{name: "forwarding, " + place, run: func(uint64) ([]observation, error) {
+func forwardingJob(size string, services, agents int) job {
+	return job{name: "forwarding, " + size, run: func(uint64) ([]observation, error) {
 		got, err := measure.Forwarding(measure.ForwardingConfig{
-			Services: services, Agents: agents, Batches: forwardTurns,
+			Services: services, Agents: agents, Batches: forwardingBatches,
 		})
 		if err != nil {
 			return nil, err
@@ -184,11 +184,11 @@
 		}
 
 		return []observation{
-			{forwardingCost, place, balancerPath, got.Path / got.Bare},
-			{forwardingCost, place, bareLoop, 1},
-			{forwardingTime, place, balancerPath, got.Path},
-			{forwardingTime, place, bareLoop, got.Bare},
-			{allocations, place, balancerPath, got.Allocations},
+			{forwardingCost, size, balancerPath, got.Path / got.Bare},
+			{forwardingCost, size, bareLoop, 1},
+			{forwardingTime, size, balancerPath, got.Path},
+			{forwardingTime, size, bareLoop, got.Bare},
+			{allocations, size, balancerPath, got.Allocations},
 		}, nil
 	}}
 }
--- a/internal/testing/report/jobs_requests.go
+++ b/internal/testing/report/jobs_requests.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	imbalanceDuration = time.Minute
-	imbalanceMean     = 50 * time.Millisecond // service time
-	imbalanceClients  = 4                     // connections for each agent, of uneven rates
-	ordinaryLoad      = 0.6                   // of the capacity
-	busyLoad          = 0.9
-
-	executionRate = 20 // non-idempotent requests per second
-
-	claimDuration = time.Minute
-	claimSettle   = 10 * time.Second
-	claimFaults   = 0.1 // per second
-	claimLoss     = 0.01
+	imbalanceDuration    = time.Minute
+	imbalanceServiceTime = 50 * time.Millisecond // mean
+	connectionsPerAgent  = 4                     // with uneven request rates
+	normalUtilization    = 0.6                   // fraction of the capacity
+	highUtilization      = 0.9
+
+	nonIdempotentRate = 20 // non-idempotent requests per second
+
+	claimDuration        = time.Minute
+	claimSettleTime      = 10 * time.Second
+	claimFaultsPerSecond = 0.1
+	claimMessageLoss     = 0.01
 )
 
 var placers = []struct {
-	policy string
-	make   func(seed uint64) measure.Placer
+	policy    string
+	newPlacer func(seed uint64) measure.Placer
 }{
 	{picker, measure.NewPicker},
 	{random, measure.NewRandom},
@@ -35,16 +35,16 @@
 	{twoChoices, measure.NewTwoChoices},
 }
 
-// imbalanceJobs compares placement of requests at two loads, and with backend
+// imbalanceJobs compares the placement policies at two loads, and with backend
 // servers of unequal speed.
 func imbalanceJobs(service measure.Deployment) []job {
 	scenario := measure.Imbalance{
-		Agents: service.Agents, Slots: service.Slots, Duration: imbalanceDuration, Utilization: ordinaryLoad,
-		Mean: imbalanceMean, Sigma: 1, Connections: imbalanceClients * service.Agents, Misleading: true,
+		Agents: service.Agents, Slots: service.Slots, Duration: imbalanceDuration, Utilization: normalUtilization,
+		Mean: imbalanceServiceTime, Sigma: 1, Connections: connectionsPerAgent * service.Agents, Misleading: true,
 	}
 
 	busy := scenario
-	busy.Utilization = busyLoad
+	busy.Utilization = highUtilization
 
 	unequal := scenario
 	unequal.Speeds = []float64{1, 1, 0.5}
@@ -52,26 +52,26 @@
 	var jobs []job
 
 	for _, p := range placers {
-		run := func(scenario measure.Imbalance, observe func(measure.ImbalanceResult) []observation) job {
+		newJob := func(scenario measure.Imbalance, observe func(measure.ImbalanceResult) []observation) job {
 			name := fmt.Sprintf("imbalance of requests, %s, %s", service.Service, p.policy)
 
 			return job{name: name, run: func(seed uint64) ([]observation, error) {
-				return observe(measure.Unbalanced(scenario, p.make, seed)), nil
+				return observe(measure.Unbalanced(scenario, p.newPlacer, seed)), nil
 			}}
 		}
 
 		jobs = append(
 			jobs,
-			run(scenario, func(got measure.ImbalanceResult) []observation {
+			newJob(scenario, func(got measure.ImbalanceResult) []observation {
 				return []observation{{imbalanceRequests, service.Service, p.policy, got.Imbalance}}
 			}),
-			run(busy, func(got measure.ImbalanceResult) []observation {
+			newJob(busy, func(got measure.ImbalanceResult) []observation {
 				return []observation{{imbalanceBusy, service.Service, p.policy, got.Imbalance}}
 			}),
-			run(unequal, func(got measure.ImbalanceResult) []observation {
+			newJob(unequal, func(got measure.ImbalanceResult) []observation {
 				return []observation{
-					{imbalanceUnequal, service.Service, p.policy, got.Imbalance},
-					{slowestUnequal, service.Service, p.policy, got.P99.Seconds() * 1000},
+					{imbalanceUnequalSpeed, service.Service, p.policy, got.Imbalance},
+					{p99UnequalSpeed, service.Service, p.policy, got.P99.Seconds() * 1000},
 				}
 			}),
 		)
@@ -81,8 +81,8 @@
 }
 
 var admitters = []struct {
-	policy string
-	make   func(admission.Policy) measure.Admitter
+	policy      string
+	newAdmitter func(admission.Policy) measure.Admitter
 }{
 	{scheduler, measure.NewScheduler},
 	{firstCome, measure.NewFirstCome},
@@ -96,7 +96,7 @@
 		for _, flooder := range []measure.Flooder{measure.LeastUrgent, measure.MostUrgent} {
 			name := fmt.Sprintf("%s flood, %s, %s", flooder, service.Service, a.policy)
 			jobs = append(jobs, job{name: name, run: func(seed uint64) ([]observation, error) {
-				return observeFlood(measure.Flood(service.Flooded(flooder), a.make, seed), a.policy), nil
+				return observeFlood(measure.Flood(service.Flooded(flooder), a.newAdmitter, seed), a.policy), nil
 			}})
 		}
 	}
@@ -111,24 +111,24 @@
 
 	if result.Scenario.Flooder == measure.LeastUrgent {
 		return []observation{
-			{leastUrgentInTime, service.Service, policy, 100 * result.Class(most).InTime()},
-			{leastOthers, service.Service, policy, othersInTime(result, least)},
+			{leastUrgentFloodUrgentInTime, service.Service, policy, 100 * result.Class(most).InTime()},
+			{leastUrgentFloodOthersInTime, service.Service, policy, othersInTime(result, least)},
 		}
 	}
 
 	return []observation{
-		{mostShare, service.Service, policy, 100 * result.Class(least).ShareKept()},
-		{mostOthers, service.Service, policy, othersInTime(result, most)},
+		{mostUrgentFloodShare, service.Service, policy, 100 * result.Class(least).ShareKept()},
+		{mostUrgentFloodOthersInTime, service.Service, policy, othersInTime(result, most)},
 	}
 }
 
-// othersInTime returns the percentage of the requests of all classes but the
+// othersInTime returns the percentage of requests of the classes other than the
 // flooding one that were answered within their deadlines.
-func othersInTime(result measure.FloodResult, flooding string) float64 {
+func othersInTime(result measure.FloodResult, floodingClass string) float64 {
 	onTime, offered := 0, 0
 
 	for name, class := range result.Classes {
-		if name != flooding {
+		if name != floodingClass {
 			onTime += class.OnTime
 			offered += class.Offered
 		}
@@ -154,7 +154,7 @@
 		name := fmt.Sprintf("non-idempotent requests, %s, %s", service.Service, m.policy)
 		jobs = append(jobs, job{name: name, run: func(seed uint64) ([]observation, error) {
 			got := measure.Executions(measure.ExecutionsConfig{
-				Seed: seed, Agents: service.Agents, Zones: zones[service.Name], Rate: executionRate,
+				Seed: seed, Agents: service.Agents, Zones: zoneCounts[service.Name], Rate: nonIdempotentRate,
 				Mean: nonIdempotentMean(service), Method: m.method,
 			})
 
@@ -169,7 +169,8 @@
 	return jobs
 }
 
-// nonIdempotentMean returns the service time of the non-idempotent class.
+// nonIdempotentMean returns the mean service time of the first non-idempotent
+// class.
 func nonIdempotentMean(service measure.Deployment) time.Duration {
 	for _, work := range service.Work {
 		if !work.Class.Idempotent {
@@ -183,8 +184,8 @@
 func claimJob(service measure.Deployment) job {
 	return job{name: "claims with dense faults, " + service.Service, run: func(seed uint64) ([]observation, error) {
 		got := measure.Claims(measure.ClaimScenario{
-			Agents: service.Agents, Capacity: claim.DefaultCapacity, Duration: claimDuration, Settle: claimSettle,
-			Keys: executionRate, Faults: claimFaults, Loss: claimLoss,
+			Agents: service.Agents, Capacity: claim.DefaultCapacity, Duration: claimDuration, Settle: claimSettleTime,
+			Keys: nonIdempotentRate, Faults: claimFaultsPerSecond, Loss: claimMessageLoss,
 		}, seed)
 
 		return []observation{
--- a/internal/testing/report/plot.go
+++ b/internal/testing/report/plot.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	columns      = 2
-	panelWidth   = 19 * vg.Centimeter
-	panelHeight  = 8 * vg.Centimeter
-	panelPadding = 4 * vg.Millimeter
-	legendWidth  = 4.2 * vg.Centimeter
-	textSize     = 9
-	labelSize    = 7
-	groupWidth   = 11 * vg.Centimeter // of all bars of a panel together
-
-	// Room above the highest bar for the labels, relative to the axis.
+	panelColumns   = 2
+	panelWidth     = 19 * vg.Centimeter
+	panelHeight    = 8 * vg.Centimeter
+	panelPadding   = 4 * vg.Millimeter
+	legendWidth    = 4.2 * vg.Centimeter
+	textSize       = 9
+	medianTextSize = 7
+	groupWidth     = 11 * vg.Centimeter // total width of the bars of a panel
+
+	// Space above the highest bar for the labels, as a fraction of the axis.
 	headroom = 0.3
 )
 
-// The colors: blue for the policy in use, others for baselines, distinct also
-// for colour-blind readers (Okabe and Ito, 2008).
+// Blue marks the policy in use and the other colors mark baselines. The palette
+// is distinguishable for color-blind readers (Okabe and Ito, 2008).
 var (
 	inUseColor     = color.RGBA{R: 0, G: 114, B: 178, A: 255}
 	targetColor    = color.RGBA{R: 180, A: 255}
@@ -40,8 +40,8 @@
 	}
 )
 
-// WriteSVG draws a panel for each measure: bars for each place and policy with
-// their spread, and the target as a dashed line.
+// WriteSVG writes an SVG image with a panel for each measure. A panel has a bar
+// with its spread for each place and policy, and the target as a dashed line.
 func (r *Report) WriteSVG(w io.Writer) error {
 	width, height := r.size()
 	canvas := vgsvg.New(width, height)
@@ -49,7 +49,7 @@
 	return r.write(w, canvas, canvas)
 }
 
-// WritePNG draws the same as WriteSVG.
+// WritePNG writes the same image as WriteSVG in PNG format.
 func (r *Report) WritePNG(w io.Writer) error {
 	width, height := r.size()
 	canvas := vgimg.New(width, height)
@@ -58,20 +58,20 @@
 }
 
 func (r *Report) size() (width, height vg.Length) {
-	rows := (len(r.Measures) + columns - 1) / columns
+	rows := (len(r.Measures) + panelColumns - 1) / panelColumns
 
-	return columns * panelWidth, vg.Length(max(rows, 1)) * panelHeight
+	return panelColumns * panelWidth, vg.Length(max(rows, 1)) * panelHeight
 }
 
 func (r *Report) write(w io.Writer, canvas vg.CanvasSizer, output io.WriterTo) error {
-	whole := draw.New(canvas)
-	whole.SetColor(color.White)
-	whole.Fill(whole.Path())
+	page := draw.New(canvas)
+	page.SetColor(color.White)
+	page.Fill(page.Path())
 
 	for i := range r.Measures {
-		left := vg.Length(i%columns) * panelWidth
-		top := whole.Max.Y - vg.Length(i/columns)*panelHeight
-		panel := draw.Canvas{Canvas: whole.Canvas, Rectangle: vg.Rectangle{
+		left := vg.Length(i%panelColumns) * panelWidth
+		top := page.Max.Y - vg.Length(i/panelColumns)*panelHeight
+		panel := draw.Canvas{Canvas: page.Canvas, Rectangle: vg.Rectangle{
 			Min: vg.Point{X: left + panelPadding, Y: top - panelHeight + panelPadding},
 			Max: vg.Point{X: left + panelWidth - panelPadding, Y: top - panelPadding},
 		}}
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// draw draws the measure with its legend at the right.
+// draw draws the panel of the measure, with the legend on the right.
 func (m *Measure) draw(canvas draw.Canvas) error {
 	p := plot.New()
 	p.Title.Text = m.Title
@@ -106,20 +106,20 @@
 	legend.ThumbnailWidth = 4 * vg.Millimeter
 	legend.Padding = vg.Millimeter
 
-	top := m.axisTop()
+	top := m.resolveAxisMax()
 	places, policies := m.places(), m.policies()
 
-	medians := make([]plot.Plotter, len(policies))
+	medianLabels := make([]plot.Plotter, len(policies))
 
 	for i, policy := range policies {
-		bars, texts, err := m.bars(p, policy, i, len(policies), top)
+		bars, labels, err := m.bars(p, policy, i, len(policies), top)
 		if err != nil {
 			return err
 		}
 
-		medians[i] = texts
+		medianLabels[i] = labels
 
-		legend.Add(label(policy), bars)
+		legend.Add(policyLabel(policy), bars)
 	}
 
 	if m.Target != nil {
@@ -129,14 +129,14 @@
 		}
 
 		p.Add(line)
-		legend.Add("target: "+m.bound(), line)
+		legend.Add("target: "+m.targetText(), line)
 	}
 
-	p.Add(medians...)
-	p.NominalX(shorten(places)...)
+	p.Add(medianLabels...)
+	p.NominalX(wrapNames(places)...)
 	p.X.Min, p.X.Max = -0.5, float64(len(places))-0.5
-	p.Y.Min, p.Y.Max = m.base, m.base+(top-m.base)*(1+headroom)
-	p.Y.Tick.Marker = ticks(m.base, top)
+	p.Y.Min, p.Y.Max = m.axisMin, m.axisMin+(top-m.axisMin)*(1+headroom)
+	p.Y.Tick.Marker = ticks(m.axisMin, top)
 
 	p.Draw(draw.Crop(canvas, 0, -legendWidth, 0, 0))
 	legend.Draw(draw.Crop(canvas, canvas.Size().X-legendWidth+2*vg.Millimeter, 0, 0, -panelHeight/8))
@@ -144,10 +144,10 @@
 	return nil
 }
 
-// axisTop returns the value at which bars are cut.
-func (m *Measure) axisTop() float64 {
-	if m.top > 0 {
-		return m.top
+// resolveAxisMax returns the top of the axis. Bars above it are truncated.
+func (m *Measure) resolveAxisMax() float64 {
+	if m.axisMax > 0 {
+		return m.axisMax
 	}
 
 	top := 0.0
@@ -159,24 +159,24 @@
 		top = max(top, figure.Highest)
 	}
 
-	if top <= m.base {
-		return m.base + 1
+	if top <= m.axisMin {
+		return m.axisMin + 1
 	}
 
-	return niceTop(top)
+	return roundAxisMax(top)
 }
 
-// bars adds the bars of a policy with their spread and returns them with the
-// texts above them, which are drawn last. The x values are the numbers of the
-// places.
+// bars adds the bars of a policy and their error bars to the plot. It returns
+// the bars for the legend, and their labels, which are drawn last. The x values
+// are the indexes of the places.
 func (m *Measure) bars(
-	p *plot.Plot, policy string, number, policies int, top float64,
-) (*plotter.BarChart, *values, error) {
+	p *plot.Plot, policy string, index, policies int, top float64,
+) (*plotter.BarChart, *valueLabels, error) {
 	places := m.places()
 	width := groupWidth / vg.Length(len(places)*(policies+1))
-	offset := width * (vg.Length(number) - vg.Length(policies-1)/2)
+	offset := width * (vg.Length(index) - vg.Length(policies-1)/2)
 	heights := make(plotter.Values, len(places))
-	spread, medians := &spreads{offset: offset}, &values{offset: offset}
+	ranges, labels := &errorBars{offset: offset}, &valueLabels{offset: offset}
 
 	for i, place := range places {
 		figure, ok := m.figure(place, policy)
@@ -185,10 +185,10 @@
 		case !ok:
 			continue
 		case figure.Median > top:
-			medians.add(float64(i), top, m.format(figure.Median)+" (cut)")
+			labels.add(float64(i), top, m.format(figure.Median)+" (cut)")
 		default:
-			spread.add(float64(i), figure, top)
-			medians.add(float64(i), max(m.base, min(figure.Highest, top)), m.format(figure.Median))
+			ranges.add(float64(i), figure, top)
+			labels.add(float64(i), max(m.axisMin, min(figure.Highest, top)), m.format(figure.Median))
 		}
 
 		heights[i] = min(figure.Median, top)
@@ -200,18 +200,18 @@
 	}
 
 	bars.Offset, bars.LineStyle.Width, bars.Color = offset, 0, inUseColor
-	if !inUse[policy] {
-		bars.Color = baselineColors[number%len(baselineColors)]
+	if !policiesInUse[policy] {
+		bars.Color = baselineColors[index%len(baselineColors)]
 	}
 
-	p.Add(bars, spread)
+	p.Add(bars, ranges)
 
-	return bars, medians, nil
+	return bars, labels, nil
 }
 
-// shorten breaks long names of places into lines. A comma without a space
-// after it separates digits.
-func shorten(places []string) []string {
+// wrapNames breaks names into lines at each comma followed by a space. A comma
+// without a space separates digits.
+func wrapNames(places []string) []string {
 	lines := make([]string, 0, len(places))
 	for _, place := range places {
 		lines = append(lines, strings.ReplaceAll(place, ", ", "\n"))
--- a/internal/testing/report/report.go
+++ b/internal/testing/report/report.go
@@ -1,15 +1,15 @@
-// Package report runs the measures of the design page with their baselines and
-// shows them as tables, JSON and plots.
+// Package report runs the measures of the design page for the policies in use
+// and for their baselines, and writes them as tables, JSON and plots.
 //
 // # Usage
 //
-//	made, err := report.Run(ctx, report.Options{Seeds: 5, Workers: 2, Progress: os.Stderr})
-//	err = made.WriteTables(os.Stdout)
-//	err = made.WriteJSON(file)
-//	err = made.WriteSVG(file)
+//	result, err := report.Run(ctx, report.Options{Seeds: 5, Workers: 2, Progress: os.Stderr})
+//	err = result.WriteTables(os.Stdout)
+//	err = result.WriteJSON(file)
+//	err = result.WriteSVG(file)
 //
-// A figure is the median over seeds with the lowest and the highest value. A
-// target is met only if the worst seed of every service meets it.
+// A figure is the median over the seeds, with the lowest and the highest value.
+// A target is met only if the worst seed of every service meets it.
 package report
 
 import (
@@ -22,7 +22,7 @@
 
 // Report holds the measures of one run.
 type Report struct {
-	Seeds    int       `json:"seeds"` // 1 to Seeds
+	Seeds    int       `json:"seeds"` // the seeds are 1 to Seeds
 	Measures []Measure `json:"measures"`
 }
 
@@ -32,16 +32,16 @@
 	Title   string   `json:"title"`
 	Unit    string   `json:"unit"`
 	Target  *Target  `json:"target,omitempty"`
-	Met     *bool    `json:"met,omitempty"`   // of the policies in use; nil without a target
+	Met     *bool    `json:"met,omitempty"`   // whether the policies in use meet the target; nil without one
 	Worst   *float64 `json:"worst,omitempty"` // value of the policies in use on the worst seed
 	Figures []Figure `json:"figures"`
 
 	decimals int
-	base     float64 // lowest value of the axis
-	top      float64 // highest value of the axis; 0 to fit the figures
+	axisMin  float64 // lowest value of the axis
+	axisMax  float64 // highest value of the axis; 0 to fit the figures
 }
 
-// Target is the bound of a measure.
+// Target is the limit that a measure must keep.
 type Target struct {
 	Limit   float64 `json:"limit"`
 	AtLeast bool    `json:"at_least"` // otherwise at most
@@ -55,10 +55,10 @@
 	Median  float64   `json:"median"`
 	Lowest  float64   `json:"lowest"`
 	Highest float64   `json:"highest"`
-	Values  []float64 `json:"values"` // in the order of the seeds
+	Values  []float64 `json:"values"` // by seed
 }
 
-// observation is the value of a measure for one seed.
+// observation is the value of a measure for one place, policy and seed.
 type observation struct {
 	measure string
 	place   string
@@ -84,7 +84,7 @@
 	return figure.Highest
 }
 
-// worse returns the value that is further from the target.
+// worse returns the worse of two values.
 func (t Target) worse(a, b float64) float64 {
 	if t.AtLeast {
 		return min(a, b)
@@ -104,11 +104,12 @@
 	}
 
 	m.Figures = append(m.Figures, Figure{
-		Place: o.place, Policy: o.policy, InUse: inUse[o.policy], Values: []float64{o.value},
+		Place: o.place, Policy: o.policy, InUse: policiesInUse[o.policy], Values: []float64{o.value},
 	})
 }
 
-// summarize computes the medians, the spreads and whether the target is met.
+// summarize computes the median and spread of each figure, and whether the
+// target is met.
 func (m *Measure) summarize() {
 	worst := math.NaN()
 
@@ -170,7 +171,7 @@
 	return found
 }
 
-// Missed returns the measures whose target is missed.
+// Missed returns the measures that miss their target.
 func (r *Report) Missed() []Measure {
 	var missed []Measure
 
--- a/internal/testing/report/report_test.go
+++ b/internal/testing/report/report_test.go
@@ -14,16 +14,16 @@
 	"jayspindle/internal/testing/measure"
 )
 
-// sample returns the definitions of two measures.
-func sample() []Measure {
+// sampleMeasures returns the definitions of two measures.
+func sampleMeasures() []Measure {
 	return []Measure{
 		{Name: "cost", Title: "Cost", Unit: "times", Target: atMost(1.3), decimals: 1},
 		{Name: "kept", Title: "Kept", Unit: "%", Target: atLeast(99), decimals: 0},
 	}
 }
 
-// fixed returns a job that observes a value for each seed.
-func fixed(measure, policy string, values ...float64) job {
+// fixedJob returns a job that reports the given value for each seed.
+func fixedJob(measure, policy string, values ...float64) job {
 	return job{name: measure + " " + policy, run: func(seed uint64) ([]observation, error) {
 		return []observation{{measure, "crew-link", policy, values[seed-1]}}, nil
 	}}
@@ -32,91 +32,93 @@
 func mustRun(t *testing.T, measures []Measure, jobs ...job) *Report {
 	t.Helper()
 
-	made, err := run(t.Context(), Options{Seeds: 3, Workers: 2, Progress: io.Discard}, measures, jobs, nil)
+	result, err := run(t.Context(), Options{Seeds: 3, Workers: 2, Progress: io.Discard}, measures, jobs, nil)
 	is.New(t).NoErr(err)
 
-	return made
+	return result
 }
 
-// Guards against targets that pass because of a good median or a good
-// baseline, and against bounds in the wrong direction.
+// Guards against a target that counts as met because of a good median or a good
+// baseline, and against limits compared in the wrong direction.
 func TestVerdict(t *testing.T) {
-	made := mustRun(
-		t, sample(),
-		fixed("cost", scheduler, 1.1, 1.4, 1.0), fixed("cost", firstCome, 1, 1, 1),
-		fixed("kept", scheduler, 99, 100, 100), fixed("kept", firstCome, 0, 0, 0),
+	result := mustRun(
+		t, sampleMeasures(),
+		fixedJob("cost", scheduler, 1.1, 1.4, 1.0), fixedJob("cost", firstCome, 1, 1, 1),
+		fixedJob("kept", scheduler, 99, 100, 100), fixedJob("kept", firstCome, 0, 0, 0),
 	)
 
 	is := is.New(t)
-	is.Equal(*made.Measures[0].Met, false)
-	is.Equal(*made.Measures[0].Worst, 1.4)
-	is.Equal(*made.Measures[1].Met, true)
-	is.Equal(*made.Measures[1].Worst, 99.0)
-	is.Equal(len(made.Missed()), 1)
-	is.Equal(made.Measures[0].Figures[0].Median, 1.1)
+	is.Equal(*result.Measures[0].Met, false)
+	is.Equal(*result.Measures[0].Worst, 1.4)
+	is.Equal(*result.Measures[1].Met, true)
+	is.Equal(*result.Measures[1].Worst, 99.0)
+	is.Equal(len(result.Missed()), 1)
+	is.Equal(result.Measures[0].Figures[0].Median, 1.1)
 }
 
-// Guards against tables whose cells belong to another policy, and against a
-// missed target that the table does not show.
+// Guards against table cells in the column of another policy, and against a
+// missed target that the text above the table does not report.
 func TestTables(t *testing.T) {
-	made := mustRun(t, sample(), fixed("cost", scheduler, 1.1, 1.4, 1.0), fixed("cost", firstCome, 2, 2, 2))
+	result := mustRun(
+		t, sampleMeasures(), fixedJob("cost", scheduler, 1.1, 1.4, 1.0), fixedJob("cost", firstCome, 2, 2, 2),
+	)
 
 	var text strings.Builder
 
 	is := is.New(t)
-	is.NoErr(made.WriteTables(&text))
+	is.NoErr(result.WriteTables(&text))
 	is.True(strings.Contains(text.String(), "| times | scheduler (in use) | first come |"))
 	is.True(strings.Contains(text.String(), "| crew-link | 1.1 (1.0 to 1.4) | 2.0 |"))
 	is.True(strings.Contains(text.String(), "at most 1.3. It is **missed**; the worst seed has 1.4."))
 }
 
-// Guards against JSON that loses values or the verdict.
+// Guards against JSON that omits values or whether the target is met.
 func TestJSON(t *testing.T) {
-	made := mustRun(t, sample(), fixed("cost", scheduler, 1.1, 1.4, 1.0))
+	result := mustRun(t, sampleMeasures(), fixedJob("cost", scheduler, 1.1, 1.4, 1.0))
 
 	var (
-		text strings.Builder
-		read Report
+		text    strings.Builder
+		decoded Report
 	)
 
 	is := is.New(t)
-	is.NoErr(made.WriteJSON(&text))
-	is.NoErr(json.Unmarshal([]byte(text.String()), &read))
-	is.Equal(read.Measures[0].Figures, made.Measures[0].Figures)
-	is.Equal(*read.Measures[0].Met, false)
-	is.Equal(read.Measures[1].Met, nil) // no figures, no verdict
+	is.NoErr(result.WriteJSON(&text))
+	is.NoErr(json.Unmarshal([]byte(text.String()), &decoded))
+	is.Equal(decoded.Measures[0].Figures, result.Measures[0].Figures)
+	is.Equal(*decoded.Measures[0].Met, false)
+	is.Equal(decoded.Measures[1].Met, nil) // without figures, neither met nor missed
 }
 
-// Guards against a report that depends on which scenario ends first.
+// Guards against a report whose order depends on which scenario ends first.
 func TestOrder(t *testing.T) {
-	second := make(chan struct{})
-	slow, fast := fixed("cost", scheduler, 1, 1, 1), fixed("cost", firstCome, 2, 2, 2)
+	fastDone := make(chan struct{})
+	slow, fast := fixedJob("cost", scheduler, 1, 1, 1), fixedJob("cost", firstCome, 2, 2, 2)
 	runSlow, runFast := slow.run, fast.run
 	slow.run = func(seed uint64) ([]observation, error) {
-		<-second
+		<-fastDone
 
 		return runSlow(seed)
 	}
 	fast.run = func(seed uint64) ([]observation, error) {
 		if seed == 3 {
-			close(second)
+			close(fastDone)
 		}
 
 		return runFast(seed)
 	}
 
-	made := mustRun(t, sample(), slow, fast)
-	is.New(t).Equal(made.Measures[0].policies(), []string{scheduler, firstCome})
+	result := mustRun(t, sampleMeasures(), slow, fast)
+	is.New(t).Equal(result.Measures[0].policies(), []string{scheduler, firstCome})
 }
 
-// Guards against reports with holes: a scenario that fails, is interrupted or
-// reports an unknown measure must end the run.
+// Guards against incomplete reports: a scenario that fails, is interrupted or
+// reports an unknown measure must end the run with an error.
 func TestErrors(t *testing.T) {
 	broken := errors.New("broken")
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 
-	fails := job{name: "failing", run: func(uint64) ([]observation, error) { return nil, broken }}
+	failing := job{name: "failing", run: func(uint64) ([]observation, error) { return nil, broken }}
 
 	cases := []struct {
 		name string
@@ -124,9 +126,9 @@
 		job  job
 		want string
 	}{
-		{"failure", t.Context(), fails, "failing, seed 1: broken"},
-		{"unknown measure", t.Context(), fixed("other", scheduler, 1), `measure "other" is not defined`},
-		{"interrupted", cancelled, fixed("cost", scheduler, 1), "context canceled"},
+		{"failure", t.Context(), failing, "failing, seed 1: broken"},
+		{"unknown measure", t.Context(), fixedJob("other", scheduler, 1), `measure "other" is not defined`},
+		{"interrupted", cancelled, fixedJob("cost", scheduler, 1), "context canceled"},
 	}
 
 	for _, c := range cases {
@@ -139,7 +141,7 @@
 					jobs = [2][]job{nil, {c.job}}
 				}
 
-				_, err := run(c.ctx, Options{Seeds: 1, Progress: io.Discard}, sample(), jobs[0], jobs[1])
+				_, err := run(c.ctx, Options{Seeds: 1, Progress: io.Discard}, sampleMeasures(), jobs[0], jobs[1])
 
 				var typed *Error
 
@@ -151,24 +153,24 @@
 	}
 }
 
-// Guards against plots that are not valid XML or leave out a policy, a place,
-// a unit or the target.
+// Guards against plots that are not valid XML, or that omit a policy, a place, a
+// unit or the target.
 func TestPlot(t *testing.T) {
-	made := mustRun(
-		t, sample(), fixed("cost", scheduler, 1.1, 1.4, 1.0), fixed("cost", firstCome, 0, 0, 0),
-		fixed("kept", scheduler, 0, 0, 0),
+	result := mustRun(
+		t, sampleMeasures(), fixedJob("cost", scheduler, 1.1, 1.4, 1.0), fixedJob("cost", firstCome, 0, 0, 0),
+		fixedJob("kept", scheduler, 0, 0, 0),
 	)
 
-	var drawn strings.Builder
+	var svg strings.Builder
 
 	is := is.New(t)
-	is.NoErr(made.WriteSVG(&drawn))
+	is.NoErr(result.WriteSVG(&svg))
 
-	for _, text := range []string{"Cost", "times", "crew-link", label(scheduler), firstCome, "target: at most 1.3"} {
-		is.True(strings.Contains(drawn.String(), ">"+text+"<"))
+	for _, text := range []string{"Cost", "times", "crew-link", policyLabel(scheduler), firstCome, "target: at most 1.3"} {
+		is.True(strings.Contains(svg.String(), ">"+text+"<"))
 	}
 
-	decoder := xml.NewDecoder(strings.NewReader(drawn.String()))
+	decoder := xml.NewDecoder(strings.NewReader(svg.String()))
 
 	for {
 		_, err := decoder.Token()
@@ -180,8 +182,8 @@
 	}
 }
 
-// Guards against two measures of one name and scenarios whose figures belong
-// to no measure. Only the short scenarios run.
+// Guards against two measures with the same name, and against scenarios that
+// report an undefined measure. Only the short scenarios run.
 func TestDefinitions(t *testing.T) {
 	is := is.New(t)
 	service := measure.Services()[1]
@@ -189,10 +191,10 @@
 	jobs = append(jobs, executionJobs(service)[1:]...)
 	names := make(map[string]bool)
 
-	made, err := run(t.Context(), Options{Seeds: 1, Workers: 2, Progress: io.Discard}, definitions(), jobs, nil)
+	result, err := run(t.Context(), Options{Seeds: 1, Workers: 2, Progress: io.Discard}, definitions(), jobs, nil)
 	is.NoErr(err)
 
-	for _, m := range made.Measures {
+	for _, m := range result.Measures {
 		is.True(!names[m.Name] && m.Title != "" && m.Unit != "")
 		names[m.Name] = true
 	}
--- a/internal/testing/report/suite.go
+++ b/internal/testing/report/suite.go
@@ -13,8 +13,8 @@
 // Options configures a run.
 type Options struct {
 	Seeds    int
-	Workers  int       // scenarios at a time
-	Progress io.Writer // gets a line for each scenario that is over
+	Workers  int       // number of scenarios that run concurrently
+	Progress io.Writer // receives a line for each finished scenario
 }
 
 // job is a scenario that yields values of one or more measures.
@@ -23,8 +23,8 @@
 	run  func(seed uint64) ([]observation, error)
 }
 
-// Run runs all scenarios. Those in real time run alone at the end, so that
-// others don't disturb them.
+// Run runs all scenarios. Those measured in real time run last and one at a
+// time, because concurrent scenarios would distort their figures.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	return run(ctx, options, definitions(), simulatedJobs(), realTimeJobs())
 }
@@ -51,14 +51,14 @@
 	return r.collect(measures)
 }
 
-// runner runs jobs and keeps their results in order, so that the report does
-// not depend on which job ends first.
+// runner runs jobs and stores their results by job, so that the report does not
+// depend on which job ends first.
 type runner struct {
-	options Options
-	jobs    []job
-	results [][][]observation // by job and seed
-	mutex   sync.Mutex
-	over    int
+	options  Options
+	jobs     []job
+	results  [][][]observation // by job and seed
+	mutex    sync.Mutex
+	finished int
 }
 
 func (r *runner) runJob(ctx context.Context, i int) error {
@@ -86,22 +86,22 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 
-	r.over++
+	r.finished++
 	fmt.Fprintf(r.options.Progress, "[%d/%d] %s: %d seeds in %.1f s\n",
-		r.over, len(r.jobs), name, r.options.Seeds, taken.Seconds())
+		r.finished, len(r.jobs), name, r.options.Seeds, taken.Seconds())
 }
 
-// collect assigns the observations to their measures.
+// collect adds the observations to their measures and summarizes them.
 func (r *runner) collect(measures []Measure) (*Report, error) {
-	places := make(map[string]int, len(measures))
+	indexes := make(map[string]int, len(measures))
 	for i, m := range measures {
-		places[m.Name] = i
+		indexes[m.Name] = i
 	}
 
 	for _, seeds := range r.results {
 		for _, observed := range seeds {
 			for _, o := range observed {
-				i, ok := places[o.measure]
+				i, ok := indexes[o.measure]
 				if !ok {
 					return nil, newError("run", KindScenario, fmt.Errorf("measure %q is not defined", o.measure))
 				}
--- a/internal/testing/report/table.go
+++ b/internal/testing/report/table.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// WriteTables writes a Markdown table for each measure: a row for each place,
-// a column for each policy, and the median with the lowest and the highest
-// value in each cell.
+// WriteTables writes a Markdown table for each measure, with a row for each
+// place and a column for each policy. A cell has the median, and the lowest and
+// the highest value if they differ.
 func (r *Report) WriteTables(w io.Writer) error {
 	var text strings.Builder
 
@@ -32,7 +32,7 @@
 	fmt.Fprintf(text, "\n### %s\n\n%s\n\n| %s |", m.Title, m.verdict(), m.Unit)
 
 	for _, policy := range policies {
-		fmt.Fprintf(text, " %s |", label(policy))
+		fmt.Fprintf(text, " %s |", policyLabel(policy))
 	}
 
 	fmt.Fprintf(text, "\n|%s\n", strings.Repeat(" --- |", len(policies)+1))
@@ -48,16 +48,16 @@
 	}
 }
 
-// label marks the policy in use.
-func label(policy string) string {
-	if inUse[policy] {
+// policyLabel returns the name of a policy, marked if the system uses it.
+func policyLabel(policy string) string {
+	if policiesInUse[policy] {
 		return policy + " (in use)"
 	}
 
 	return policy
 }
 
-// verdict says what the target is and whether it is met.
+// verdict returns a sentence with the target and whether it is met.
 func (m *Measure) verdict() string {
 	if m.Met == nil {
 		return "No target."
@@ -68,17 +68,17 @@
 		verdict = "**missed**"
 	}
 
-	return fmt.Sprintf("Target: %s. It is %s; the worst seed has %s.", m.bound(), verdict, m.format(*m.Worst))
+	return fmt.Sprintf("Target: %s. It is %s; the worst seed has %s.", m.targetText(), verdict, m.format(*m.Worst))
 }
 
-// bound returns the target in words.
-func (m *Measure) bound() string {
-	word := "at most"
+// targetText returns the target in words.
+func (m *Measure) targetText() string {
+	comparison := "at most"
 	if m.Target.AtLeast {
-		word = "at least"
+		comparison = "at least"
 	}
 
-	return word + " " + strconv.FormatFloat(m.Target.Limit, 'f', -1, 64)
+	return comparison + " " + strconv.FormatFloat(m.Target.Limit, 'f', -1, 64)
 }
 
 func (m *Measure) cell(place, policy string) string {
