--- a/internal/testing/fleet/agent_test.go
+++ b/internal/testing/fleet/agent_test.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	leaveLimit = 3 * time.Second  // after it a leaving agent gets no new work
-	longPause  = 10 * time.Second // far longer than a lease
+	drainLimit    = 3 * time.Second  // after which a draining agent receives no new requests
+	pauseDuration = 10 * time.Second // far longer than the lease
 )
 
-// Guards against a drain that cuts flows or requests, or still takes work, and
-// against claims that are lost when their holders restart one after the other.
+// Guards against a drain that breaks flows or requests or still accepts new
+// requests, and against claims that are lost when the agents that hold them
+// restart one after the other.
 func TestRollingRestartOfAgents(t *testing.T) {
 	f := deploy(t, 5)
 	calls := startLoad(f)
@@ -25,23 +26,23 @@
 		name := fleet.Agent(n)
 
 		f.Signal(name, syscall.SIGTERM)
-		time.Sleep(leaveLimit)
+		time.Sleep(drainLimit)
 
 		runs := f.Runs(name)
 		f.Terminate(name)
-		is.New(t).Equal(f.Runs(name), runs) // work after the leave limit
+		is.New(t).Equal(f.Runs(name), runs) // no request starts after the drain limit
 
 		f.Rerun(name)
 		f.AwaitReady(name)
 	}
 
-	unbroken(t, calls.Stop())
-	neverFell(t, f)
+	assertUnbroken(t, calls.Stop())
+	assertPositionsNeverFell(t, f)
 }
 
-// brokenOnlyAt waits until the callers that had their feed at a backend server
-// have one elsewhere, and asserts that no flow of another caller broke.
-func brokenOnlyAt(t *testing.T, f *fleet.Fleet, calls *fleet.Calls, before map[string]string, server string) {
+// assertBrokenOnlyAt waits until no caller has its feed at the backend server,
+// and asserts that no flow broke except those of callers that had it there.
+func assertBrokenOnlyAt(t *testing.T, f *fleet.Fleet, calls *fleet.Calls, before map[string]string, server string) {
 	t.Helper()
 	f.Await("feeds of "+server+" are resumed elsewhere", func() bool {
 		for _, now := range calls.Feeds() {
@@ -60,9 +61,8 @@
 	}
 }
 
-// Guards against the loss of flows of other agents, of events of resumed
-// feeds, and of claims, when an agent dies; and when its backend server dies
-// with it.
+// Guards against broken flows of other agents, missing events in resumed feeds,
+// and lost claims, when an agent dies alone or together with its backend server.
 func TestLossOfAgents(t *testing.T) {
 	f := deploy(t, 6)
 	calls := startLoad(f)
@@ -70,11 +70,11 @@
 	lost := before["crew-link-0"]
 
 	f.Kill(lost)
-	brokenOnlyAt(t, f, calls, before, lost)
+	assertBrokenOnlyAt(t, f, calls, before, lost)
 	f.Rerun(lost)
 	f.AwaitReady(lost)
-	time.Sleep(settle)
-	atMostOnce(t, calls.Stop())
+	time.Sleep(settleTime)
+	assertAtMostOnce(t, calls.Stop())
 
 	calls = startLoad(f)
 	before = calls.Feeds()
@@ -82,30 +82,32 @@
 
 	f.Kill("backend-" + lost)
 	f.Kill(lost)
-	brokenOnlyAt(t, f, calls, before, lost)
-	time.Sleep(settle)
-	atMostOnce(t, calls.Stop())
+	assertBrokenOnlyAt(t, f, calls, before, lost)
+	time.Sleep(settleTime)
+	assertAtMostOnce(t, calls.Stop())
 }
 
-// Guards against an agent that, paused for longer than its lease and the
-// patience of its callers, runs on return what ran elsewhere meanwhile.
+// Guards against an agent that is paused for longer than its lease and the
+// timeouts of its callers, and after it continues runs requests that another
+// agent has already run.
 func TestPausedAgent(t *testing.T) {
 	f := deploy(t, 7)
 	calls := startLoad(f)
 	paused := calls.Feeds()["crew-link-0"]
 
 	f.Signal(paused, syscall.SIGSTOP)
-	time.Sleep(longPause)
+	time.Sleep(pauseDuration)
 	f.Signal(paused, syscall.SIGCONT)
 	f.AwaitReady(paused)
 	f.AwaitInForce(instances)
-	time.Sleep(settle)
-	atMostOnce(t, calls.Stop())
-	neverFell(t, f)
+	time.Sleep(settleTime)
+	assertAtMostOnce(t, calls.Stop())
+	assertPositionsNeverFell(t, f)
 }
 
-// Guards against packets of old flows, and first packets of balancers with an
-// older view, that reach another service at the same address.
+// Guards against packets that reach the wrong service after an agent of another
+// service starts at the address of a dead one: packets of old flows, and first
+// packets from balancers with an older view.
 func TestAddressReusedByOtherService(t *testing.T) {
 	f := deploy(t, 8)
 	calls := startLoad(f)
@@ -129,11 +131,11 @@
 
 		return true
 	})
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 
 	first, second := calls.Stop(), others.Stop()
-	atMostOnce(t, first)
-	unbroken(t, second)
+	assertAtMostOnce(t, first)
+	assertUnbroken(t, second)
 
 	is.New(t).Equal(first.BackendServers[fleet.CrewLink][successor], nil)
 	is.New(t).Equal(len(second.BackendServers[fleet.SheetDesk]), 1)
--- a/internal/testing/fleet/controller_test.go
+++ b/internal/testing/fleet/controller_test.go
@@ -20,11 +20,11 @@
 	instances = agents + balancers
 )
 
-// number returns the number of the controller with that name.
-func number(name string) int { return int(name[len(name)-1] - '0') }
+// controllerNumber returns the number of the controller with that name.
+func controllerNumber(name string) int { return int(name[len(name)-1] - '0') }
 
-// other returns the number of a controller that is not among those named.
-func other(names ...string) int {
+// otherController returns the number of the first controller that is not named.
+func otherController(names ...string) int {
 	for n := 1; ; n++ {
 		if !slices.Contains(names, fleet.Controller(n)) {
 			return n
@@ -32,20 +32,21 @@
 	}
 }
 
-// neverFell asserts that no instance put a lower position into force.
-func neverFell(t *testing.T, f *fleet.Fleet) {
+// assertPositionsNeverFell asserts that no instance put a position into force
+// that is lower than the one before.
+func assertPositionsNeverFell(t *testing.T, f *fleet.Fleet) {
 	t.Helper()
 
 	for n := 1; n <= agents; n++ {
-		rising(t, fleet.Agent(n), f.Positions(fleet.Agent(n)))
+		assertNonDecreasing(t, fleet.Agent(n), f.Positions(fleet.Agent(n)))
 	}
 
 	for n := 1; n <= balancers; n++ {
-		rising(t, fleet.Balancer(n), f.Positions(fleet.Balancer(n)))
+		assertNonDecreasing(t, fleet.Balancer(n), f.Positions(fleet.Balancer(n)))
 	}
 }
 
-func rising(t *testing.T, name string, positions []view.Position) {
+func assertNonDecreasing(t *testing.T, name string, positions []view.Position) {
 	t.Helper()
 	is.New(t).True(len(positions) > 0)
 
@@ -57,7 +58,7 @@
 }
 
 // Guards against a change that is lost or reverted when the leader dies, and
-// when a follower dies right after the repair.
+// when a follower dies right after the former leader has returned.
 func TestLossOfLeaderThenFollower(t *testing.T) {
 	f := deploy(t, 1)
 	leader := f.Leader()
@@ -66,16 +67,16 @@
 	f.Change()
 	f.AwaitInForce(instances)
 
-	f.StartController(number(leader))
+	f.StartController(controllerNumber(leader))
 	f.AwaitReady(leader)
-	f.Kill(fleet.Controller(other(f.Leader(), leader)))
+	f.Kill(fleet.Controller(otherController(f.Leader(), leader)))
 	f.Change()
 	f.AwaitInForce(instances)
-	neverFell(t, f)
+	assertPositionsNeverFell(t, f)
 }
 
-// voters returns how many controllers vote, as the leader knows them.
-func voters(f *fleet.Fleet) int {
+// countVoters returns the number of voting controllers, as reported by the leader.
+func countVoters(f *fleet.Fleet) int {
 	count := 0
 
 	for _, member := range f.Members() {
@@ -87,9 +88,9 @@
 	return count
 }
 
-// Guards against a controller that cannot return without its disk, and against
-// one that is not counted in the quorum afterwards: the second loss then stops
-// all changes.
+// Guards against a controller that cannot rejoin after it lost its data
+// directory, and against one that rejoins without a vote: the loss of a second
+// controller would then stop all changes.
 func TestLossOfDataDirectoryThenController(t *testing.T) {
 	f := deploy(t, 2)
 	lost := fleet.Controller(2)
@@ -101,16 +102,16 @@
 	f.Await("the replacement votes", func() bool {
 		now := f.Members()
 
-		return voters(f) == 3 && !slices.Equal(replicas(before), replicas(now))
+		return countVoters(f) == 3 && !slices.Equal(replicaIDs(before), replicaIDs(now))
 	})
 
-	f.Kill(fleet.Controller(other(lost)))
+	f.Kill(fleet.Controller(otherController(lost)))
 	f.Change()
 	f.AwaitInForce(instances)
-	neverFell(t, f)
+	assertPositionsNeverFell(t, f)
 }
 
-func replicas(members []control.Member) []uint64 {
+func replicaIDs(members []control.Member) []uint64 {
 	var identities []uint64
 	for _, member := range members {
 		identities = append(identities, member.Replica)
@@ -121,12 +122,13 @@
 	return identities
 }
 
-// Guards against a leader that, paused while another was elected, still answers
-// from its old state or accepts a change that the group does not have.
+// Guards against a leader that was paused while another one was elected, and then
+// still answers from its old state or accepts a change that is not committed by
+// the group.
 func TestPausedLeader(t *testing.T) {
 	f := deploy(t, 3)
 	leader := f.Leader()
-	n := number(leader)
+	n := controllerNumber(leader)
 	settings := f.OperatorAt(n)
 	old, ok := f.Status("trial")
 	is.New(t).True(ok)
@@ -140,7 +142,7 @@
 	is.New(t).True(changed.Version > old.Version)
 	f.WriteDocument("late.yaml", 9000)
 
-	// Both calls wait for the paused controller.
+	// Both commands wait for the paused controller.
 	read := f.Begin("status", "-json", "-environment", "trial", "-settings", settings)
 	write := f.Begin("submit", "-environment", "trial", "-file", "late.yaml", "-author", "city",
 		"-base", fmt.Sprint(old.Version), "-settings", settings)
@@ -155,9 +157,9 @@
 	}
 
 	_, exit := write()
-	is.New(t).True(exit != 0) // a submit on the version before the pause
+	is.New(t).True(exit != 0) // the submit is based on the version before the pause
 
 	f.Change()
 	f.AwaitInForce(instances)
-	neverFell(t, f)
+	assertPositionsNeverFell(t, f)
 }
--- a/internal/testing/fleet/deploy.go
+++ b/internal/testing/fleet/deploy.go
@@ -18,18 +18,18 @@
 	SheetDesk = "sheet-desk"
 )
 
-// The last part of an address is the number of an instance plus one of these.
+// The last byte of an address is the number of the instance plus one of these.
 const (
 	controllerHost = 0
 	balancerHost   = 10
-	agentHost      = 20
-	otherHost      = 40 // agents of sheet-desk
+	crewLinkHost   = 20
+	sheetDeskHost  = 40 // the agents of sheet-desk
 	serviceHost    = 250
 	controllers    = 3
 	balancers      = 3
 )
 
-// instance is what the settings of one instance are made from.
+// instance holds the values for the settings templates of one instance.
 type instance struct {
 	Name, Host, Zone, Debug, Service    string
 	Controllers, Upstreams, City, Works string
@@ -37,10 +37,11 @@
 	Balancers, Services                 []string
 	Callers, Attempts                   int
 	Ledgers                             string
-	Seed                                int // of a load client: equal seeds give equal idempotency keys
+	Seed                                int // clients with equal seeds send equal idempotency keys
 }
 
-// createKeys creates the authority and the keys of owners, services and operator.
+// createKeys creates the certificate authority, the keys of the owners and
+// services, and the settings of the operator.
 func (f *Fleet) createKeys() {
 	var err error
 
@@ -50,7 +51,7 @@
 	for _, owner := range []string{"city", "works", CrewLink + "-service", SheetDesk + "-service"} {
 		key, err := identity.CreateKey(f.path(owner + ".key"))
 		f.check(err)
-		f.public[owner] = key.PublicKey()
+		f.publicKeys[owner] = key.PublicKey()
 	}
 
 	for _, service := range []string{CrewLink, SheetDesk} {
@@ -61,7 +62,7 @@
 	f.write("operator.yaml", operatorSettings, f.instance("operator"))
 }
 
-// issue creates the certificate of an instance once.
+// issue creates the certificate of an instance unless it exists.
 func (f *Fleet) issue(role identity.Role, name, environment, service string) {
 	if _, err := os.Stat(f.path(name + ".pem")); err == nil {
 		return
@@ -80,24 +81,24 @@
 	f.check(os.WriteFile(f.path(file), content.Bytes(), fileMode))
 }
 
-// instance returns the settings of an instance named KIND-NUMBER.
+// instance returns the template values of an instance named KIND-NUMBER.
 func (f *Fleet) instance(name string) instance {
 	var listen []string
 	for number := 1; number <= controllers; number++ {
 		listen = append(listen, f.ControllerAddress(number))
 	}
 
-	made := instance{
-		Seed: len(f.all) * 1000,
+	settings := instance{
+		Seed: len(f.started) * 1000,
 		Name: name, Host: f.host(name), Debug: f.debugAddress(name), Zone: zones[(numberOf(name)+2)%len(zones)],
 		Controllers: strings.Join(listen, ", "), Upstreams: strings.Join(listen, ", "),
-		City: identity.FormatPublicKey(f.public["city"]), Works: identity.FormatPublicKey(f.public["works"]),
+		City: identity.FormatPublicKey(f.publicKeys["city"]), Works: identity.FormatPublicKey(f.publicKeys["works"]),
 	}
-	if via := f.via[name]; via != nil {
-		made.Upstreams = strings.Join(via, ", ")
+	if upstreams := f.upstreams[name]; upstreams != nil {
+		settings.Upstreams = strings.Join(upstreams, ", ")
 	}
 
-	return made
+	return settings
 }
 
 func numberOf(name string) int {
@@ -119,18 +120,18 @@
 	case strings.HasPrefix(name, "balancer"):
 		base = balancerHost
 	case strings.HasPrefix(name, CrewLink):
-		base = agentHost
+		base = crewLinkHost
 	case strings.HasPrefix(name, SheetDesk):
-		base = otherHost
+		base = sheetDeskHost
 	}
 
 	return fmt.Sprintf("%s.%d", f.network, base+numberOf(name))
 }
 
-// debugAddress returns where an instance answers its health check.
+// debugAddress returns the address of the health check of an instance.
 func (f *Fleet) debugAddress(name string) string { return f.host(name) + ":6401" }
 
-// ControllerAddress returns where a controller listens.
+// ControllerAddress returns the listen address of a controller.
 func (f *Fleet) ControllerAddress(number int) string { return f.host(Controller(number)) + ":6101" }
 
 // Controller returns the name of a controller.
@@ -142,11 +143,12 @@
 // Agent returns the name of an agent of crew-link.
 func Agent(number int) string { return fmt.Sprintf("%s-%d", CrewLink, number) }
 
-// Via makes an instance use these upstreams from its next start on.
-func (f *Fleet) Via(name string, upstreams []string) { f.via[name] = upstreams }
+// Via sets the upstreams that an instance uses from its next start on.
+func (f *Fleet) Via(name string, upstreams []string) { f.upstreams[name] = upstreams }
 
-// Deploy starts the controllers, brings the first document into force, and
-// starts the balancers and a number of agents with backend servers.
+// Deploy starts the controllers, makes the first change, starts the balancers
+// and a number of agents with backend servers, and waits until all are ready
+// and have put the newest position into force.
 func (f *Fleet) Deploy(agents int) {
 	f.t.Helper()
 
@@ -173,14 +175,15 @@
 	f.AwaitInForce(balancers + agents)
 }
 
-// StartController starts a controller. The first one founds the group.
+// StartController starts a controller. Controller 1 bootstraps the group on its
+// first start.
 func (f *Fleet) StartController(number int) {
 	name := Controller(number)
 	f.issue(identity.RoleController, name, identity.AllEnvironments, "")
 
 	settings := f.instance(name)
-	settings.Bootstrap = !f.founded && number == 1
-	f.founded = f.founded || settings.Bootstrap
+	settings.Bootstrap = !f.bootstrapped && number == 1
+	f.bootstrapped = f.bootstrapped || settings.Bootstrap
 
 	f.write(name+".yaml", controllerSettings, settings)
 	f.start(name, "controller", "-settings", name+".yaml")
@@ -197,7 +200,7 @@
 	f.start(name, "balancer", "-settings", name+".yaml")
 }
 
-// StartBackend starts the backend server beside an agent.
+// StartBackend starts the backend server of an agent at the agent's address.
 func (f *Fleet) StartBackend(agent string) { f.StartBackendAt(agent, agent) }
 
 // StartBackendAt starts the backend server of an agent at the address of
@@ -224,14 +227,14 @@
 	f.start(name, "agent", "-settings", name+".yaml")
 }
 
-// Restart stops an instance with patience and starts it again.
+// Restart stops an instance gracefully and starts it again.
 func (f *Fleet) Restart(name string) {
 	f.t.Helper()
 	f.Terminate(name)
 	f.Rerun(name)
 }
 
-// Rerun starts an instance that has ended with the same settings.
+// Rerun starts a stopped instance again with the same settings.
 func (f *Fleet) Rerun(name string) {
 	f.t.Helper()
 	f.start(name, f.processes[name].command.Args[1:]...)
--- a/internal/testing/fleet/fleet.go
+++ b/internal/testing/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs a small deployment of real processes on loopback, for
-// tests of failures: 3 controllers, 3 balancers, and agents with backend
-// servers.
+// Package fleet runs a small deployment of real processes on the loopback
+// interface, for tests of failures: 3 controllers, 3 balancers, and agents with
+// backend servers.
 //
 // # Usage
 //
@@ -11,9 +11,9 @@
 //	f.Kill("balancer-1")
 //	result := calls.Stop()
 //
-// The processes of a fleet use addresses of their own in 127.0.0.0/8, keep
-// their files in a temporary directory and end with the test. The kernel also
-// ends them when the test process dies from a panic or a timeout.
+// Each fleet has its own addresses in 127.0.0.0/8 and keeps its files in a
+// temporary directory. Its processes are killed at the end of the test, and by
+// the kernel if the test process dies from a panic or a timeout.
 package fleet
 
 import (
@@ -30,18 +30,18 @@
 )
 
 const (
-	// Patience bounds each wait for a state. It is far above the time that a
-	// state takes, because the machine may be busy.
+	// Patience is the timeout of each wait for a state. It is far longer than a
+	// state normally takes, because the machine may be busy.
 	Patience = 40 * time.Second
 
 	pollInterval  = 50 * time.Millisecond
 	healthTimeout = time.Second
 	fileMode      = 0o600
 
-	// The tests of several worktrees can run at once, so the network of a fleet
-	// depends on the process. The demo uses 127.0.x.x.
-	firstNetwork = 16
-	networks     = 200
+	// The second byte of the addresses depends on the process ID, because tests
+	// of several worktrees can run at once. The demo uses 127.0.x.x.
+	networkBase  = 16
+	networkCount = 200
 )
 
 // The availability zones of the deployment.
@@ -49,17 +49,17 @@
 
 // Fleet is a deployment of real processes.
 type Fleet struct {
-	t         testing.TB
-	directory string
-	binary    string
-	network   string // first three parts of the addresses
-	processes map[string]*process
-	all       []*process
-	authority *identity.Authority
-	public    map[string]ed25519.PublicKey
-	founded   bool
-	via       map[string][]string // upstreams of an instance other than the controllers
-	stage     int                 // changes made
+	t            testing.TB
+	directory    string
+	binary       string
+	network      string // first three bytes of the addresses, dotted
+	processes    map[string]*process
+	started      []*process
+	authority    *identity.Authority
+	publicKeys   map[string]ed25519.PublicKey
+	bootstrapped bool
+	upstreams    map[string][]string // by instance; overrides the controllers as upstreams
+	changeCount  int                 // the latest document is document-N.yaml
 }
 
 // Build builds the program into the directory and returns its path.
@@ -77,19 +77,19 @@
 	return binary, nil
 }
 
-// New returns a fleet without processes. The number, 1 to 250, tells the
-// fleets of one test process apart.
+// New returns a fleet without processes. The number, 1 to 250, must be unique
+// among the fleets of a test process: it is the third byte of their addresses.
 func New(t testing.TB, binary string, number int) *Fleet {
 	t.Helper()
 
 	f := &Fleet{
-		t:         t,
-		directory: t.TempDir(),
-		binary:    binary,
-		network:   fmt.Sprintf("127.%d.%d", firstNetwork+os.Getpid()%networks, number),
-		processes: make(map[string]*process),
-		public:    make(map[string]ed25519.PublicKey),
-		via:       make(map[string][]string),
+		t:          t,
+		directory:  t.TempDir(),
+		binary:     binary,
+		network:    fmt.Sprintf("127.%d.%d", networkBase+os.Getpid()%networkCount, number),
+		processes:  make(map[string]*process),
+		publicKeys: make(map[string]ed25519.PublicKey),
+		upstreams:  make(map[string][]string),
 	}
 	t.Cleanup(f.close)
 	f.createKeys()
@@ -97,9 +97,9 @@
 	return f
 }
 
-// close ends every process and shows the logs of a failed test.
+// close kills all processes, and shows their logs if the test failed.
 func (f *Fleet) close() {
-	for _, p := range f.all {
+	for _, p := range f.started {
 		p.end()
 	}
 
@@ -118,7 +118,7 @@
 	}
 }
 
-// Await waits for a state, at most for Patience.
+// Await waits until a state is reached, and fails the test after Patience.
 func (f *Fleet) Await(state string, reached func() bool) {
 	f.t.Helper()
 
@@ -129,7 +129,7 @@
 	}
 }
 
-// AwaitReady waits for the health checks of instances.
+// AwaitReady waits until the health checks of the instances succeed.
 func (f *Fleet) AwaitReady(names ...string) {
 	f.t.Helper()
 
@@ -138,8 +138,8 @@
 	}
 }
 
-// AwaitReadyAt waits for the health check of an instance at the address of
-// another one.
+// AwaitReadyAt waits until the health check of an instance that runs at the
+// address of another one succeeds.
 func (f *Fleet) AwaitReadyAt(name, at string) {
 	f.t.Helper()
 	f.Await(name+" is ready", func() bool { return f.ready(at) })
--- a/internal/testing/fleet/forwarder.go
+++ b/internal/testing/fleet/forwarder.go
@@ -7,32 +7,33 @@
 	"sync/atomic"
 )
 
-// Forwarder is a device between two UDP endpoints that keeps state for each
-// flow, as a firewall does, and can lose it.
+// Forwarder is a UDP proxy with a socket for each flow. It simulates a stateful
+// firewall that loses the state of its flows.
 type Forwarder struct {
-	fleet   *Fleet
-	front   *net.UDPConn
-	target  netip.AddrPort
-	mutex   sync.Mutex // guards flows
-	flows   map[netip.AddrPort]*flow
-	stopped atomic.Bool
+	fleet    *Fleet
+	listener *net.UDPConn
+	target   netip.AddrPort
+	mutex    sync.Mutex // guards flows
+	flows    map[netip.AddrPort]*flow
+	stopped  atomic.Bool
 }
 
 type flow struct {
-	back        *net.UDPConn
-	silentThere atomic.Bool // drops what the target should get
-	silentBack  atomic.Bool // drops what the source should get
+	upstream     *net.UDPConn
+	dropToTarget atomic.Bool // drops datagrams to the target
+	dropToSource atomic.Bool // drops datagrams to the source
 }
 
-// NewForwarder starts a forwarder to a target address. It ends with the test.
+// NewForwarder starts a forwarder to a target address. It is closed at the end
+// of the test.
 func (f *Fleet) NewForwarder(target string) *Forwarder {
 	f.t.Helper()
 
-	front, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(f.host("forwarder"))})
+	listener, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(f.host("forwarder"))})
 	f.check(err)
 
 	w := &Forwarder{
-		fleet: f, front: front, target: netip.MustParseAddrPort(target), flows: make(map[netip.AddrPort]*flow),
+		fleet: f, listener: listener, target: netip.MustParseAddrPort(target), flows: make(map[netip.AddrPort]*flow),
 	}
 	f.t.Cleanup(w.close)
 
@@ -41,20 +42,21 @@
 	return w
 }
 
-// Address returns where the forwarder listens.
-func (w *Forwarder) Address() string { return w.front.LocalAddr().String() }
+// Address returns the listen address of the forwarder.
+func (w *Forwarder) Address() string { return w.listener.LocalAddr().String() }
 
-// Silence drops, without an error, all later datagrams of the present flows in
-// one direction, and returns how many flows that are. New flows work.
-func (w *Forwarder) Silence(there bool) int {
+// Silence makes the forwarder silently drop all further datagrams of the
+// existing flows in one direction, and returns the number of these flows. New
+// flows are forwarded.
+func (w *Forwarder) Silence(toTarget bool) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 
 	for _, current := range w.flows {
-		if there {
-			current.silentThere.Store(true)
+		if toTarget {
+			current.dropToTarget.Store(true)
 		} else {
-			current.silentBack.Store(true)
+			current.dropToSource.Store(true)
 		}
 	}
 
@@ -66,10 +68,10 @@
 	defer w.mutex.Unlock()
 
 	w.stopped.Store(true)
-	_ = w.front.Close() // nothing is left to send
+	_ = w.listener.Close() // a close error of a UDP socket loses no data
 
 	for _, current := range w.flows {
-		_ = current.back.Close()
+		_ = current.upstream.Close()
 	}
 }
 
@@ -77,7 +79,7 @@
 	buffer := make([]byte, 1<<16)
 
 	for {
-		n, source, err := w.front.ReadFromUDPAddrPort(buffer)
+		n, source, err := w.listener.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			if w.stopped.Load() {
 				return
@@ -86,13 +88,14 @@
 			continue
 		}
 
-		if current := w.flow(source); current != nil && !current.silentThere.Load() {
-			_, _ = current.back.Write(buffer[:n]) // a datagram may be lost
+		if current := w.flow(source); current != nil && !current.dropToTarget.Load() {
+			_, _ = current.upstream.Write(buffer[:n]) // a datagram may be lost
 		}
 	}
 }
 
-// flow returns the flow of a source. It is nil if no socket is free.
+// flow returns the flow of a source and creates it if needed. It returns nil if
+// no socket can be opened.
 func (w *Forwarder) flow(source netip.AddrPort) *flow {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -101,26 +104,26 @@
 		return current
 	}
 
-	back, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(w.target))
+	upstream, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(w.target))
 	if err != nil {
 		return nil
 	}
 
-	current := &flow{back: back}
+	current := &flow{upstream: upstream}
 	w.flows[source] = current
 
-	go w.answer(source, current)
+	go w.forwardReplies(source, current)
 
 	return current
 }
 
-func (w *Forwarder) answer(source netip.AddrPort, current *flow) {
+func (w *Forwarder) forwardReplies(source netip.AddrPort, current *flow) {
 	buffer := make([]byte, 1<<16)
 
 	for !w.stopped.Load() {
-		n, err := current.back.Read(buffer)
-		if err == nil && !current.silentBack.Load() {
-			_, _ = w.front.WriteToUDPAddrPort(buffer[:n], source) // a datagram may be lost
+		n, err := current.upstream.Read(buffer)
+		if err == nil && !current.dropToSource.Load() {
+			_, _ = w.listener.WriteToUDPAddrPort(buffer[:n], source) // a datagram may be lost
 		}
 	}
 }
--- a/internal/testing/fleet/load.go
+++ b/internal/testing/fleet/load.go
@@ -11,11 +11,11 @@
 	"jayspindle/internal/program/load"
 )
 
-// Load describes the callers of a fleet. Each keeps a feed open, and sends
-// pass reports and positions.
+// Load configures the callers of a load client. Each caller keeps a feed open,
+// and sends pass reports and positions.
 type Load struct {
 	Callers  int
-	Attempts int      // of each request
+	Attempts int      // at most, for each request
 	Services []string // crew-link if empty
 }
 
@@ -62,7 +62,7 @@
 // Log returns the log of the load client.
 func (c *Calls) Log() []Line { return c.fleet.Log(c.process.name) }
 
-// Feeds returns the backend server of the newest feed of each caller.
+// Feeds returns the backend server of the latest feed of each caller.
 func (c *Calls) Feeds() map[string]string {
 	feeds := make(map[string]string)
 
@@ -75,7 +75,7 @@
 	return feeds
 }
 
-// Stop ends the load and returns what the callers saw.
+// Stop stops the load client and returns its result.
 func (c *Calls) Stop() *load.Result {
 	c.fleet.t.Helper()
 	c.process.signal(syscall.SIGTERM)
@@ -83,7 +83,7 @@
 	select {
 	case <-c.process.done:
 	case <-time.After(Patience):
-		c.process.signal(syscall.SIGQUIT) // logs its goroutines
+		c.process.signal(syscall.SIGQUIT) // makes it log its goroutines
 		<-c.process.done
 		c.fleet.t.Fatalf("the load client did not stop within %s, see %s", Patience, c.process.log)
 	}
--- a/internal/testing/fleet/main_test.go
+++ b/internal/testing/fleet/main_test.go
@@ -7,12 +7,13 @@
 	"jayspindle/internal/testing/fleet"
 )
 
-// atOnce bounds the fleets that run at once, about 15 processes each.
-const atOnce = 4
+// maxConcurrentFleets limits the fleets that run at once, each with about 15
+// processes.
+const maxConcurrentFleets = 4
 
 var (
-	binary string
-	turns  = make(chan struct{}, atOnce)
+	binary     string
+	fleetSlots = make(chan struct{}, maxConcurrentFleets)
 )
 
 func TestMain(m *testing.M) {
@@ -27,16 +28,16 @@
 		panic(err)
 	}
 
-	m.Run() // the testing package exits with its status
+	m.Run() // the generated main function exits with the status
 }
 
-// deploy returns a fleet of its own with four agents, once it is its turn.
+// deploy waits for a free fleet slot and returns a new fleet with four agents.
 func deploy(t *testing.T, number int) *fleet.Fleet {
 	t.Parallel()
 
-	turns <- struct{}{}
+	fleetSlots <- struct{}{}
 
-	t.Cleanup(func() { <-turns })
+	t.Cleanup(func() { <-fleetSlots })
 
 	f := fleet.New(t, binary, number)
 	f.Deploy(agents)
--- a/internal/testing/fleet/operate.go
+++ b/internal/testing/fleet/operate.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	firstLimit = 2000 // first packets a second in the first document
+	initialFirstPacketLimit = 2000 // first packets per second; each change adds 1
 
 	exitOK = 0
 )
 
-// Operate runs an operator's command and returns its output and exit status.
+// Operate runs an operator command and returns its output and exit status.
 func (f *Fleet) Operate(arguments ...string) (string, int) {
 	f.t.Helper()
 
 	return f.Begin(arguments...)()
 }
 
-// Begin starts an operator's command. The returned function waits for its end
+// Begin starts an operator command. The returned function waits until it exits
 // and returns its output and exit status.
 func (f *Fleet) Begin(arguments ...string) func() (string, int) {
 	f.t.Helper()
@@ -42,7 +42,8 @@
 	}
 }
 
-// Members returns the controller group as the leader knows it, empty without one.
+// Members returns the members of the controller group as reported by the leader,
+// or none if the command fails.
 func (f *Fleet) Members() []control.Member {
 	output, exit := f.Operate("members", "-json")
 	if exit != exitOK {
@@ -56,8 +57,8 @@
 	return reply.Members
 }
 
-// OperatorAt writes settings of an operator who knows one controller only, and
-// returns the file name.
+// OperatorAt writes operator settings that list only one controller, and returns
+// the file name.
 func (f *Fleet) OperatorAt(number int) string {
 	settings := f.instance("operator")
 	settings.Controllers = f.ControllerAddress(number)
@@ -79,7 +80,7 @@
 	return status, true
 }
 
-// Leader waits for a leader and returns its name.
+// Leader waits until a leader is elected and returns its name.
 func (f *Fleet) Leader() string {
 	var name string
 
@@ -93,7 +94,8 @@
 	return name
 }
 
-// WriteDocument writes the document with a limit that tells it from others.
+// WriteDocument writes a document and returns its digest. Documents differ only
+// in the limit of first packets per second.
 func (f *Fleet) WriteDocument(file string, limit int) [32]byte {
 	type service struct{ Name, Address, Key string }
 
@@ -102,7 +104,7 @@
 	for i, name := range []string{CrewLink, SheetDesk} {
 		services = append(services, service{
 			Name: name, Address: fmt.Sprintf("%s.%d:%d", f.network, serviceHost, 7001+i),
-			Key: identity.FormatPublicKey(f.public[name+"-service"]),
+			Key: identity.FormatPublicKey(f.publicKeys[name+"-service"]),
 		})
 	}
 
@@ -115,35 +117,36 @@
 }
 
 // Change submits a new document to trial, promotes it to production, signs it
-// as both owners in both and waits until production accepted it. Steps whose
-// answer is lost are repeated.
+// as both owners in each environment and waits until production accepts it. A
+// step is repeated if its reply is lost.
 func (f *Fleet) Change() {
 	f.t.Helper()
-	f.stage++
+	f.changeCount++
 
-	file := fmt.Sprintf("document-%d.yaml", f.stage)
-	digest := f.WriteDocument(file, firstLimit+f.stage)
+	file := fmt.Sprintf("document-%d.yaml", f.changeCount)
+	digest := f.WriteDocument(file, initialFirstPacketLimit+f.changeCount)
 
 	for _, environment := range []string{"trial", "production"} {
-		f.Await(fmt.Sprintf("%s accepts change %d", environment, f.stage), func() bool {
+		f.Await(fmt.Sprintf("%s accepts change %d", environment, f.changeCount), func() bool {
 			return f.advance(environment, file, digest)
 		})
 	}
 }
 
-// advance makes the next step of a change and reports whether it is accepted.
+// advance takes the next step of a change, and reports whether the change is
+// already accepted.
 func (f *Fleet) advance(environment, file string, digest [32]byte) bool {
 	status, ok := f.Status(environment)
 
 	switch {
 	case !ok:
-	case [32]byte(pad(status.Digest)) == digest:
+	case [32]byte(padDigest(status.Digest)) == digest:
 		return true
 	case status.Pending == nil && environment == "trial":
 		f.Operate("submit", "-environment", environment, "-file", file, "-author", "city",
-			"-change", fmt.Sprintf("change-%d", f.stage))
+			"-change", fmt.Sprintf("change-%d", f.changeCount))
 	case status.Pending == nil:
-		f.Operate("promote", "-author", "works", "-change", fmt.Sprintf("promotion-%d", f.stage))
+		f.Operate("promote", "-author", "works", "-change", fmt.Sprintf("promotion-%d", f.changeCount))
 	default:
 		for _, owner := range []string{"city", "works"} {
 			if !slices.Contains(status.Pending.Signers, owner) {
@@ -155,8 +158,9 @@
 	return false
 }
 
-// pad returns 32 bytes: an environment without a document has no digest.
-func pad(digest []byte) []byte { return append(digest, make([]byte, 32)...)[:32] }
+// padDigest extends a digest to 32 bytes, because the digest of an environment
+// without a document is empty.
+func padDigest(digest []byte) []byte { return append(digest, make([]byte, 32)...)[:32] }
 
 // Sign signs the pending change as an owner and returns the exit status.
 func (f *Fleet) Sign(environment, file, owner string) int {
@@ -165,8 +169,8 @@
 	return exit
 }
 
-// AwaitInForce waits until production has that many instances, and the newest
-// position is in force at each of them.
+// AwaitInForce waits until production has that many agents and balancers, and
+// all of them have put the newest position into force.
 func (f *Fleet) AwaitInForce(instances int) {
 	f.t.Helper()
 
@@ -177,7 +181,7 @@
 	})
 }
 
-// Line is what tests read of a line in a log.
+// Line holds the fields of a log line that tests use.
 type Line struct {
 	Msg           string
 	Position      string
@@ -185,7 +189,7 @@
 	BackendServer string `json:"backend_server"`
 }
 
-// Log returns the log of the present run of a process.
+// Log returns the JSON lines in the log of the latest run of a process.
 func (f *Fleet) Log(name string) []Line {
 	log, err := os.ReadFile(f.processes[name].log)
 	f.check(err)
@@ -202,8 +206,8 @@
 	return parsed
 }
 
-// Positions returns the positions that the present run of an instance put into
-// force, oldest first, as its log tells.
+// Positions returns the positions that the latest run of an instance put into
+// force, oldest first, according to its log.
 func (f *Fleet) Positions(name string) []view.Position {
 	var positions []view.Position
 
@@ -223,7 +227,7 @@
 	return positions
 }
 
-// Runs returns how many requests the backend server beside an agent has begun.
+// Runs returns how many requests the backend server of an agent has started.
 func (f *Fleet) Runs(agent string) int64 {
 	f.t.Helper()
 
--- a/internal/testing/fleet/operator_test.go
+++ b/internal/testing/fleet/operator_test.go
@@ -17,7 +17,7 @@
 	exitRefused = 4
 )
 
-func runs(f *fleet.Fleet) int64 {
+func totalRuns(f *fleet.Fleet) int64 {
 	var total int64
 	for n := 1; n <= agents; n++ {
 		total += f.Runs(fleet.Agent(n))
@@ -26,8 +26,8 @@
 	return total
 }
 
-// Guards against traffic that needs the controllers, and against an environment
-// that takes no change after all of them were lost.
+// Guards against traffic that stops without controllers, and against an
+// environment that accepts no change after all of them were lost.
 func TestLossOfAllControllers(t *testing.T) {
 	f := deploy(t, 9)
 	calls := startLoad(f)
@@ -38,8 +38,8 @@
 
 	time.Sleep(outage)
 
-	late := runs(f)
-	f.Await("traffic goes on without controllers", func() bool { return runs(f) > late })
+	runsDuringOutage := totalRuns(f)
+	f.Await("traffic goes on without controllers", func() bool { return totalRuns(f) > runsDuringOutage })
 
 	for n := 1; n <= 3; n++ {
 		f.StartController(n)
@@ -47,12 +47,13 @@
 
 	f.Change()
 	f.AwaitInForce(instances)
-	unbroken(t, calls.Stop())
-	neverFell(t, f)
+	assertUnbroken(t, calls.Stop())
+	assertPositionsNeverFell(t, f)
 }
 
-// Guards against two winners of one version, a loser that is told so without a
-// type, and a resend that makes a second change.
+// Guards against two concurrent changes that are both accepted on the same base
+// version, a rejected one without the conflict state, and a resent change that
+// is applied twice.
 func TestRacingOperators(t *testing.T) {
 	f := deploy(t, 11)
 	base, ok := f.Status("trial")
@@ -76,23 +77,23 @@
 	first, second := submit("first", 1, 3001), submit("second", 2, 3002)
 	firstReply, firstExit := first()
 	secondReply, secondExit := second()
-	is.New(t).Equal(firstExit+secondExit, exitRefused) // one winner, one loser
+	is.New(t).Equal(firstExit+secondExit, exitRefused) // one accepted, one refused
 
-	winner, reply, loser := "first", firstReply, secondReply
+	accepted, reply, conflict := "first", firstReply, secondReply
 	if firstExit != 0 {
-		winner, reply, loser = "second", secondReply, firstReply
+		accepted, reply, conflict = "second", secondReply, firstReply
 	}
 
-	is.New(t).Equal(reply.Change.ChangeID, winner)
-	is.New(t).Equal(loser.State, control.StateConflict)
-	is.New(t).Equal(loser.Change.ChangeID, winner) // the conflict names the winner
+	is.New(t).Equal(reply.Change.ChangeID, accepted)
+	is.New(t).Equal(conflict.State, control.StateConflict)
+	is.New(t).Equal(conflict.Change.ChangeID, accepted) // the conflict names the accepted change
 
 	limit := 3001
-	if winner == "second" {
+	if accepted == "second" {
 		limit = 3002
 	}
 
-	again, exit := submit(winner, 3, limit)()
+	again, exit := submit(accepted, 3, limit)()
 	is.New(t).Equal(exit, 0)
 	is.New(t).Equal(again.State, reply.State)
 	is.New(t).Equal(again.Change, reply.Change)
--- a/internal/testing/fleet/process.go
+++ b/internal/testing/fleet/process.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// logTail is how much of each log a failed test shows, in bytes.
-const logTail = 4000
+// logTailBytes limits how much of each log a failed test shows.
+const logTailBytes = 4000
 
 // process is one run of a subcommand.
 type process struct {
@@ -23,8 +23,9 @@
 	output  bytes.Buffer  // standard output, complete once the process has ended
 }
 
-// starter starts processes on one thread that lives as long as the test
-// process: the kernel ends them when the thread that started them ends.
+// starter returns a channel of functions that run on one locked thread. Processes
+// are started there because the kernel kills them when the thread that started
+// them exits (Pdeathsig), and this one lives as long as the test process.
 var starter = sync.OnceValue(func() chan func() {
 	work := make(chan func())
 
@@ -39,8 +40,8 @@
 	return work
 })
 
-// Start runs the binary of the fleet in its directory, with further variables
-// in its environment ("NAME=value").
+// Start runs the binary of the fleet in its directory, with additional
+// environment variables ("NAME=value").
 func (f *Fleet) Start(name string, environment []string, arguments ...string) {
 	f.t.Helper()
 	f.startWith(name, environment, arguments...)
@@ -58,7 +59,7 @@
 
 	p := &process{
 		name: name,
-		log:  f.path(fmt.Sprintf("%s.%d.log", name, len(f.all))),
+		log:  f.path(fmt.Sprintf("%s.%d.log", name, len(f.started))),
 		done: make(chan struct{}),
 	}
 
@@ -71,8 +72,7 @@
 	p.command.Stdout = &p.output
 	p.command.Stderr = log
 
-	// A program that is started with its own environment logs to its standard
-	// output.
+	// Programs that are started with additional variables log to standard output.
 	if environment != nil {
 		p.command.Stdout = log
 	}
@@ -90,7 +90,7 @@
 		_ = p.command.Wait() // the exit status is in ProcessState
 	}()
 
-	f.all = append(f.all, p)
+	f.started = append(f.started, p)
 	f.processes[name] = p
 
 	return p
@@ -98,13 +98,13 @@
 
 func (p *process) signal(signal syscall.Signal) {
 	select {
-	case <-p.done: // the process ID may belong to another process by now
+	case <-p.done: // the process ID may have been reused
 	default:
 		_ = p.command.Process.Signal(signal) // fails only if the process has ended
 	}
 }
 
-// end kills the process, stopped or not.
+// end kills the process, even if it is stopped by a signal.
 func (p *process) end() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
@@ -113,16 +113,17 @@
 // PID returns the process ID of an instance.
 func (f *Fleet) PID(name string) int { return f.processes[name].command.Process.Pid }
 
-// Directory returns the directory of the fleet, which ends with the test.
+// Directory returns the directory of the fleet, which is removed at the end of
+// the test.
 func (f *Fleet) Directory() string { return f.directory }
 
 // Signal sends a signal to an instance.
 func (f *Fleet) Signal(name string, signal syscall.Signal) { f.processes[name].signal(signal) }
 
-// Kill kills an instance and waits for its end.
+// Kill kills an instance and waits until it has ended.
 func (f *Fleet) Kill(name string) { f.processes[name].end() }
 
-// Terminate asks an instance to stop and waits for its end.
+// Terminate sends SIGTERM to an instance and waits until it has ended.
 func (f *Fleet) Terminate(name string) {
 	f.t.Helper()
 
@@ -138,10 +139,10 @@
 
 // showLogs logs the end of each log.
 func (f *Fleet) showLogs() {
-	for _, p := range f.all {
+	for _, p := range f.started {
 		log, err := os.ReadFile(p.log)
 		if err == nil && len(log) > 0 {
-			f.t.Logf("%s:\n%s", p.log, log[max(0, len(log)-logTail):])
+			f.t.Logf("%s:\n%s", p.log, log[max(0, len(log)-logTailBytes):])
 		}
 	}
 }
--- a/internal/testing/fleet/settings.go
+++ b/internal/testing/fleet/settings.go
@@ -1,7 +1,7 @@
 package fleet
 
-// The settings of the instances, with the names of Instance's fields. They
-// follow the example deployment of Kitakyushu.
+// The settings templates, which refer to the fields of instance. They follow the
+// example deployment of Kitakyushu.
 const (
 	commonSettings = `{{define "telemetry"}}telemetry:
   log_level: INFO
--- a/internal/testing/fleet/silence_test.go
+++ b/internal/testing/fleet/silence_test.go
@@ -8,9 +8,9 @@
 	"jayspindle/internal/testing/fleet"
 )
 
-// Guards against an agent that waits without end on a link to the controllers
-// that fell silent in one direction, while new sockets work: it would keep an
-// old view.
+// Guards against an agent that keeps an old view because it waits forever on a
+// link to the controllers whose datagrams are dropped in one direction, although
+// new sockets would work.
 func TestSilentLinksToControllers(t *testing.T) {
 	f := deploy(t, 10)
 
@@ -32,10 +32,10 @@
 
 	calls := startLoad(f)
 
-	for _, there := range []bool{false, true} {
+	for _, toTarget := range []bool{false, true} {
 		silenced := 0
 		for _, forwarder := range forwarders {
-			silenced += forwarder.Silence(there)
+			silenced += forwarder.Silence(toTarget)
 		}
 
 		is.New(t).True(silenced > 0)
@@ -43,6 +43,6 @@
 		f.AwaitInForce(instances)
 	}
 
-	unbroken(t, calls.Stop())
-	neverFell(t, f)
+	assertUnbroken(t, calls.Stop())
+	assertPositionsNeverFell(t, f)
 }
--- a/internal/testing/fleet/traffic_test.go
+++ b/internal/testing/fleet/traffic_test.go
@@ -12,12 +12,13 @@
 
 const (
 	callers = 8
-	// settle is how long callers meet a state before the next one.
-	settle = 2 * time.Second
+	// settleTime is how long callers run in one state before the next change.
+	settleTime = 2 * time.Second
 )
 
-// served asserts that the callers got answers and events at all.
-func served(t *testing.T, result *load.Result) {
+// assertServed asserts that each class got answers, all of them matching, and
+// that feeds got events.
+func assertServed(t *testing.T, result *load.Result) {
 	t.Helper()
 	is.New(t).True(result.FeedEvents > 0)
 	is.New(t).Equal(len(result.Classes), 2)
@@ -28,11 +29,11 @@
 	}
 }
 
-// atMostOnce asserts that no request ran twice, was lost or ran after "not
-// run", and that no feed lost or repeated an event.
-func atMostOnce(t *testing.T, result *load.Result) {
+// assertAtMostOnce asserts that no request ran twice, was lost or ran after it
+// was reported as not run, and that no feed lost or repeated an event.
+func assertAtMostOnce(t *testing.T, result *load.Result) {
 	t.Helper()
-	served(t, result)
+	assertServed(t, result)
 	is.New(t).Equal(result.RunTwice, int64(0))
 	is.New(t).Equal(result.Lost, int64(0))
 	is.New(t).Equal(result.RanAfterRefusal, int64(0))
@@ -40,15 +41,16 @@
 	is.New(t).Equal(result.FeedDuplicates, int64(0))
 }
 
-// unbroken asserts that no flow broke either, and no request failed.
-func unbroken(t *testing.T, result *load.Result) {
+// assertUnbroken also asserts that no flow broke, no feed stalled and no request
+// failed.
+func assertUnbroken(t *testing.T, result *load.Result) {
 	t.Helper()
-	atMostOnce(t, result)
+	assertAtMostOnce(t, result)
 	is.New(t).Equal(result.BrokenFlows, int64(0))
 	is.New(t).True(result.Kept())
 }
 
-// startLoad starts callers and waits until each has a feed.
+// startLoad starts the callers and waits until each has a feed.
 func startLoad(f *fleet.Fleet) *fleet.Calls {
 	calls := f.StartLoad(fleet.Load{Callers: callers, Attempts: 10})
 	f.Await("every caller has a feed", func() bool { return len(calls.Feeds()) == callers })
@@ -56,23 +58,23 @@
 	return calls
 }
 
-// Guards against flows that depend on one balancer: on its table, its socket or
-// the path that replies take.
+// Guards against flows that break when one balancer is lost or restarts, because
+// they depend on its table, its socket or its reply path.
 func TestLossAndRollingRestartOfBalancers(t *testing.T) {
 	f := deploy(t, 4)
 	calls := startLoad(f)
 
 	f.Kill(fleet.Balancer(2))
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	f.Rerun(fleet.Balancer(2))
 	f.AwaitReady(fleet.Balancer(2))
 
 	for n := 1; n <= balancers; n++ {
 		f.Restart(fleet.Balancer(n))
 		f.AwaitReady(fleet.Balancer(n))
-		time.Sleep(settle / 2)
+		time.Sleep(settleTime / 2)
 	}
 
-	unbroken(t, calls.Stop())
-	neverFell(t, f)
+	assertUnbroken(t, calls.Stop())
+	assertPositionsNeverFell(t, f)
 }
