--- a/internal/testing/soak/soak.go
+++ b/internal/testing/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak runs seeded, randomised tests: a fixed list of seeds in CI and
-// as many as fit into a given time in a soak run.
+// Package soak runs randomized tests with reproducible seeds: a fixed number of
+// seeds in CI, and as many as fit into a given duration in a soak run.
 //
 // # Usage
 //
@@ -10,8 +10,8 @@
 //		})
 //	}
 //
-// With SOAK_SEED and SOAK_DURATION set, as "make soak" does, Run starts at
-// that seed and goes on until the duration has passed.
+// If SOAK_SEED and SOAK_DURATION are set, as by "make soak", Run starts at that
+// seed and continues with the following ones until the duration has passed.
 package soak
 
 import (
@@ -26,8 +26,8 @@
 	durationVariable = "SOAK_DURATION"
 )
 
-// Run calls check with the seeds 1 to seeds, or with the seeds that the
-// environment variables ask for. It stops at the first seed that fails.
+// Run calls check with the seeds from 1 to seeds, or with those selected by the
+// environment variables. It stops at the first seed that fails.
 func Run(t *testing.T, seeds int, check func(t *testing.T, seed uint64)) {
 	t.Helper()
 
@@ -54,7 +54,7 @@
 func runSeed(t *testing.T, seed uint64, check func(t *testing.T, seed uint64)) {
 	t.Helper()
 
-	// A panic must name its seed too, or the failure could not be repeated.
+	// The seed is reported for a panic too, so that the failure can be reproduced.
 	defer func() {
 		if t.Failed() {
 			t.Logf("repeat with: make soak SEED=%d DURATION=1ms RUN='^%s$'", seed, t.Name())
