--- a/internal/testing/disk/disk.go
+++ b/internal/testing/disk/disk.go
@@ -1,11 +1,12 @@
-// Package disk simulates the disk of one instance in memory: a crash loses what
-// was not synced, writes can be cut short and the disk can be full.
+// Package disk simulates the disk of one instance in memory, for tests of
+// durability. A crash loses writes that were not synced, syncs can fail, and
+// writes are cut short when the disk is full.
 //
 // # Usage
 //
 //	d := disk.New(rand.New(rand.NewPCG(seed, 0)))
 //	log, err := wal.Open("data", wal.WithFiles(d))
-//	d.Crash() // log is unusable now
+//	d.Crash() // the open log returns errors from now on
 //	log, err = wal.Open("data", wal.WithFiles(d))
 package disk
 
@@ -31,14 +32,14 @@
 
 // Disk implements wal.Files.
 type Disk struct {
-	random   *rand.Rand
-	names    map[string]*contents // as the running system sees them
-	durable  map[string]*contents // as of the last SyncDirectory
-	boot     int                  // files opened before a crash are dead
-	locked   bool
-	space    int // bytes that can still be written, negative for no limit
-	failSync bool
-	syncs    int
+	random    *rand.Rand
+	files     map[string]*contents // by path, as seen by the running system
+	durable   map[string]*contents // by path, as of the last SyncDirectory
+	crashes   int                  // number of crashes; a file handle is invalid after the next one
+	locked    bool
+	freeBytes int // bytes that can still be written, negative for no limit
+	failSync  bool
+	syncs     int
 }
 
 type contents struct {
@@ -48,48 +49,52 @@
 
 var _ wal.Files = (*Disk)(nil)
 
-// New returns an empty disk. The random source decides what a crash loses.
+// New returns an empty disk without a space limit. The random source determines
+// what a crash loses.
 func New(random *rand.Rand) *Disk {
-	return &Disk{random: random, names: map[string]*contents{}, durable: map[string]*contents{}, space: -1}
+	return &Disk{random: random, files: map[string]*contents{}, durable: map[string]*contents{}, freeBytes: -1}
 }
 
-// Limit lets only that many bytes more be written; negative removes the limit.
-func (d *Disk) Limit(bytes int) { d.space = bytes }
+// Limit sets how many more bytes can be written; a negative value removes the
+// limit.
+func (d *Disk) Limit(bytes int) { d.freeBytes = bytes }
 
-// FailSyncs makes every sync fail, or succeed again.
+// FailSyncs sets whether syncs of files and directories fail.
 func (d *Disk) FailSyncs(fail bool) { d.failSync = fail }
 
 // Syncs returns the number of successful syncs of files.
 func (d *Disk) Syncs() int { return d.syncs }
 
-// Contents returns the bytes of a file, to be changed in place.
+// Contents returns the bytes of a file without copying, so that a test can
+// corrupt them in place. It returns nil if the file does not exist.
 func (d *Disk) Contents(name string) []byte {
-	if file := d.names[name]; file != nil {
+	if file := d.files[name]; file != nil {
 		return file.data
 	}
 
 	return nil
 }
 
-// Replace sets the bytes of a file.
+// Replace sets the bytes of a file and makes them durable.
 func (d *Disk) Replace(name string, data []byte) {
 	file := &contents{data: data, synced: len(data)}
-	d.names[name], d.durable[name] = file, file
+	d.files[name], d.durable[name] = file, file
 }
 
-// Crash loses what was not synced: every name that was not synced reverts or
-// not, and of every file any part of the unsynced end is lost or zero.
+// Crash simulates a crash of the instance. At random, each unsynced creation,
+// rename or removal is kept or reverted, and any part of the unsynced tail of
+// each file is lost or zeroed. It releases the lock and invalidates open files.
 func (d *Disk) Crash() {
 	survivors := maps.Clone(d.durable)
 
-	for _, name := range slices.Sorted(maps.Keys(d.names)) {
+	for _, name := range slices.Sorted(maps.Keys(d.files)) {
 		if d.random.IntN(2) == 0 {
-			survivors[name] = d.names[name]
+			survivors[name] = d.files[name]
 		}
 	}
 
 	for _, name := range slices.Sorted(maps.Keys(survivors)) {
-		if d.names[name] == nil && d.random.IntN(2) == 0 {
+		if d.files[name] == nil && d.random.IntN(2) == 0 {
 			delete(survivors, name)
 
 			continue
@@ -98,33 +103,33 @@
 		d.tear(survivors[name])
 	}
 
-	d.names, d.durable = survivors, maps.Clone(survivors)
+	d.files, d.durable = survivors, maps.Clone(survivors)
 	d.locked = false
-	d.boot++
+	d.crashes++
 }
 
-// tear damages the unsynced end of a file.
+// tear truncates the unsynced tail of a file and zeroes parts of it at random.
 func (d *Disk) tear(file *contents) {
-	end := file.data[file.synced:]
-	if len(end) == 0 {
+	unsynced := file.data[file.synced:]
+	if len(unsynced) == 0 {
 		return
 	}
 
-	end = end[:d.random.IntN(len(end)+1)]
+	unsynced = unsynced[:d.random.IntN(len(unsynced)+1)]
 
-	if len(end) > 0 && d.random.IntN(2) == 0 {
-		clear(end[d.random.IntN(len(end)):][:1])
-		clear(end[:d.random.IntN(len(end))])
+	if len(unsynced) > 0 && d.random.IntN(2) == 0 {
+		clear(unsynced[d.random.IntN(len(unsynced)):][:1])
+		clear(unsynced[:d.random.IntN(len(unsynced))])
 	}
 
-	file.data = file.data[:file.synced+len(end)]
+	file.data = file.data[:file.synced+len(unsynced)]
 	file.synced = len(file.data)
 }
 
-// MakeDirectory does nothing, since names are paths.
+// MakeDirectory does nothing, because files are stored by their full path.
 func (d *Disk) MakeDirectory(string) error { return nil }
 
-// Lock takes the only lock of the disk.
+// Lock takes the lock. A disk has only one, whatever the directory.
 func (d *Disk) Lock(string) (io.Closer, error) {
 	if d.locked {
 		return nil, ErrLocked
@@ -132,22 +137,22 @@
 
 	d.locked = true
 
-	return unlock{d}, nil
+	return heldLock{d}, nil
 }
 
-type unlock struct{ disk *Disk }
+type heldLock struct{ disk *Disk }
 
-func (u unlock) Close() error {
-	u.disk.locked = false
+func (l heldLock) Close() error {
+	l.disk.locked = false
 
 	return nil
 }
 
-// List returns the names in a directory.
+// List returns the sorted names of the files in a directory.
 func (d *Disk) List(directory string) ([]string, error) {
 	var names []string
 
-	for name := range d.names {
+	for name := range d.files {
 		if filepath.Dir(name) == directory {
 			names = append(names, filepath.Base(name))
 		}
@@ -160,7 +165,7 @@
 
 // Read returns a copy of a file's bytes.
 func (d *Disk) Read(name string) ([]byte, error) {
-	file := d.names[name]
+	file := d.files[name]
 	if file == nil {
 		return nil, fs.ErrNotExist
 	}
@@ -168,20 +173,20 @@
 	return slices.Clone(file.data), nil
 }
 
-// Append opens a file for appending.
+// Append opens a file for appending and creates it if it doesn't exist.
 func (d *Disk) Append(name string) (wal.File, error) {
-	file := d.names[name]
+	file := d.files[name]
 	if file == nil {
 		file = &contents{}
-		d.names[name] = file
+		d.files[name] = file
 	}
 
-	return &handle{disk: d, contents: file, boot: d.boot}, nil
+	return &handle{disk: d, contents: file, crashes: d.crashes}, nil
 }
 
 // Truncate cuts a file and syncs it.
 func (d *Disk) Truncate(name string, size int64) error {
-	file := d.names[name]
+	file := d.files[name]
 	if file == nil {
 		return fs.ErrNotExist
 	}
@@ -192,33 +197,33 @@
 	return nil
 }
 
-// Rename replaces newName.
+// Rename renames a file and replaces newName if it exists.
 func (d *Disk) Rename(oldName, newName string) error {
-	file := d.names[oldName]
+	file := d.files[oldName]
 	if file == nil {
 		return fs.ErrNotExist
 	}
 
-	d.names[newName] = file
-	delete(d.names, oldName)
+	d.files[newName] = file
+	delete(d.files, oldName)
 
 	return nil
 }
 
 // Remove removes a file if it exists.
 func (d *Disk) Remove(name string) error {
-	delete(d.names, name)
+	delete(d.files, name)
 
 	return nil
 }
 
-// SyncDirectory makes all names durable.
+// SyncDirectory makes all creations, renames and removals durable.
 func (d *Disk) SyncDirectory(string) error {
 	if d.failSync {
 		return ErrSync
 	}
 
-	d.durable = maps.Clone(d.names)
+	d.durable = maps.Clone(d.files)
 
 	return nil
 }
@@ -226,23 +231,23 @@
 type handle struct {
 	disk     *Disk
 	contents *contents
-	boot     int
+	crashes  int
 }
 
-// Write appends data, or as much as fits.
+// Write appends data, or the part for which there is space.
 func (h *handle) Write(data []byte) (int, error) {
-	if h.boot != h.disk.boot {
+	if h.crashes != h.disk.crashes {
 		return 0, ErrCrashed
 	}
 
 	var err error
 
-	if space := h.disk.space; space >= 0 {
-		if len(data) > space {
-			data, err = data[:space], ErrFull
+	if freeBytes := h.disk.freeBytes; freeBytes >= 0 {
+		if len(data) > freeBytes {
+			data, err = data[:freeBytes], ErrFull
 		}
 
-		h.disk.space -= len(data)
+		h.disk.freeBytes -= len(data)
 	}
 
 	h.contents.data = append(h.contents.data, data...)
@@ -252,7 +257,7 @@
 
 // Sync makes the bytes written so far durable.
 func (h *handle) Sync() error {
-	if h.boot != h.disk.boot {
+	if h.crashes != h.disk.crashes {
 		return ErrCrashed
 	}
 
