--- a/internal/testing/fleet/process.go
+++ b/internal/testing/fleet/process.go
@@ -78,10 +78,10 @@
 	}
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 
-	started := make(chan error)
-	starter() <- func() { started <- p.command.Start() }
+	startErr := make(chan error)
+	starter() <- func() { startErr <- p.command.Start() }
 
-	f.check(<-started)
+	f.check(<-startErr)
 	f.check(log.Close())
 
 	go func() {
