--- a/internal/cli/cmd/bench.go
+++ b/internal/cli/cmd/bench.go
@@ -17,7 +17,7 @@
 const (
 	defaultSeeds = 5
 	defaultOut   = "var/bench"
-	benchWorkers = 2 // scenarios at a time; the machine may be shared
+	benchWorkers = 2 // scenarios run in parallel; the machine may be shared
 	benchJSON    = "measures.json"
 	benchPlot    = "measures.svg"
 )
@@ -58,21 +58,21 @@
 		return usage("bench: unexpected argument %q", flags.Arg(0))
 	}
 
-	// A directory that cannot be written must not be found out after the run.
+	// Create the directory first, so that the run does not fail at its end.
 	if err := os.MkdirAll(c.out, 0o755); err != nil {
 		return fail(errors.Annotate(err, "bench"))
 	}
 
-	made, err := report.Run(ctx, report.Options{Seeds: c.seeds, Workers: benchWorkers, Progress: os.Stderr})
+	result, err := report.Run(ctx, report.Options{Seeds: c.seeds, Workers: benchWorkers, Progress: os.Stderr})
 	if err != nil {
 		return fail(err)
 	}
 
-	if err := c.write(made); err != nil {
+	if err := c.write(result); err != nil {
 		return fail(err)
 	}
 
-	missed := made.Missed()
+	missed := result.Missed()
 	for _, measure := range missed {
 		fmt.Fprintf(os.Stderr, "target missed: %s\n", measure.Title)
 	}
@@ -85,20 +85,20 @@
 }
 
 // write writes the report to the directory and to the standard output.
-func (c *benchCommand) write(made *report.Report) error {
-	if err := writeFile(filepath.Join(c.out, benchJSON), made.WriteJSON); err != nil {
+func (c *benchCommand) write(result *report.Report) error {
+	if err := writeFile(filepath.Join(c.out, benchJSON), result.WriteJSON); err != nil {
 		return err
 	}
 
-	if err := writeFile(filepath.Join(c.out, benchPlot), made.WriteSVG); err != nil {
+	if err := writeFile(filepath.Join(c.out, benchPlot), result.WriteSVG); err != nil {
 		return err
 	}
 
 	if c.json {
-		return made.WriteJSON(os.Stdout)
+		return result.WriteJSON(os.Stdout)
 	}
 
-	return made.WriteTables(os.Stdout)
+	return result.WriteTables(os.Stdout)
 }
 
 func writeFile(name string, write func(io.Writer) error) error {
--- a/internal/cli/cmd/cmd.go
+++ b/internal/cli/cmd/cmd.go
@@ -4,10 +4,9 @@
 //
 //	os.Exit(cmd.Main(os.Args))
 //
-// A subcommand returns 0 when it succeeded, 1 when it failed, 2 when its
-// arguments are wrong, 3 when a check it made did not pass (an invalid
-// document, a run that broke a promise), and 4 when it lost a race or its
-// request was refused.
+// A subcommand exits with 0 if it succeeded, 1 if it failed, 2 if its arguments
+// are wrong, 3 if a check failed (an invalid document, a run that violated a
+// guarantee), and 4 if its request was refused or another change came first.
 package cmd
 
 import (
@@ -30,7 +29,7 @@
 	exitRefused = subcommands.ExitStatus(4)
 )
 
-// The groups of the help page.
+// The groups of subcommands in the help text.
 const (
 	groupPrograms  = "programs"
 	groupOperators = "operators"
@@ -87,7 +86,8 @@
 	return exitFailure
 }
 
-// usage prints what is wrong with the arguments.
+// usage prints what is wrong with the arguments and returns the exit status for
+// usage errors.
 func usage(format string, arguments ...any) subcommands.ExitStatus {
 	fmt.Fprintf(os.Stderr, "jayspindle: "+format+"\n", arguments...)
 
--- a/internal/cli/cmd/controller.go
+++ b/internal/cli/cmd/controller.go
@@ -15,14 +15,15 @@
 
 type controllerCommand struct{ settingsFlag }
 
-// controllerSettings adds to the settings of the controller what all programs have.
+// controllerSettings adds the settings that all programs share to those of the
+// controller.
 type controllerSettings struct {
 	Zone                string             `yaml:"zone" validate:"required,hostname_rfc1123"`
 	Telemetry           telemetry.Settings `yaml:"telemetry"`
 	controller.Settings `yaml:",inline"`
 }
 
-// instance names the controller in logs and traces.
+// instance identifies the controller in logs and traces.
 func (s *controllerSettings) instance() settings.Instance {
 	return settings.Instance{Name: s.Name, Environment: identity.AllEnvironments, Zone: s.Zone}
 }
--- a/internal/cli/cmd/document.go
+++ b/internal/cli/cmd/document.go
@@ -38,7 +38,8 @@
 	return readLimited(file)
 }
 
-// readLimited reads a document and refuses one that no controller would take.
+// readLimited reads a document and refuses one that is too large for the
+// controllers.
 func readLimited(reader io.Reader) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(reader, control.MaxDocument+1))
 	if err != nil {
--- a/internal/cli/cmd/fleet.go
+++ b/internal/cli/cmd/fleet.go
@@ -34,7 +34,7 @@
 		return usage("%v", err)
 	}
 
-	return c.ask(ctx, func(ctx context.Context, inspector *inspect.Inspector) subcommands.ExitStatus {
+	return c.query(ctx, func(ctx context.Context, inspector *inspect.Inspector) subcommands.ExitStatus {
 		return c.show(inspector.Fleet(ctx, controllers))
 	})
 }
@@ -58,8 +58,8 @@
 	return status
 }
 
-// agree reports whether all controllers answer, hear their group and have the
-// same document in force.
+// agree reports whether all controllers answer, are in contact with their group
+// and have the same document in force.
 func agree(fleet *inspect.Fleet) bool {
 	for _, controller := range fleet.Controllers {
 		if !controller.Answers || !controller.Settled || controller.Version != fleet.Controllers[0].Version {
--- a/internal/cli/cmd/flow.go
+++ b/internal/cli/cmd/flow.go
@@ -31,9 +31,9 @@
 func (c *flowCommand) SetFlags(flags *flag.FlagSet) { c.setFlags(flags) }
 
 func (c *flowCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	const ends = 2
+	const addressCount = 2
 
-	if flags.NArg() != ends {
+	if flags.NArg() != addressCount {
 		return usage("flow takes two addresses, found %d arguments", flags.NArg())
 	}
 
@@ -52,7 +52,7 @@
 		return usage("%v", err)
 	}
 
-	return c.ask(ctx, func(ctx context.Context, inspector *inspect.Inspector) subcommands.ExitStatus {
+	return c.query(ctx, func(ctx context.Context, inspector *inspect.Inspector) subcommands.ExitStatus {
 		found, err := inspector.Flow(ctx, controllers, flow.Key{Client: client, Service: service})
 		if err != nil {
 			return fail(err)
--- a/internal/cli/cmd/inspect.go
+++ b/internal/cli/cmd/inspect.go
@@ -15,7 +15,7 @@
 	"jayspindle/internal/state/flow"
 )
 
-// inspectTimeout is above two elections of the controllers.
+// inspectTimeout is longer than two leader elections of the controllers.
 const inspectTimeout = 2 * time.Second
 
 // inspectFlags are the flags of the commands for pass-through services.
@@ -33,7 +33,7 @@
 	flags.BoolVar(&f.json, "json", false, "print JSON")
 }
 
-// endpoints returns the controllers, at least one.
+// endpoints parses the addresses of the controllers, at least one.
 func (f *inspectFlags) endpoints() ([]flow.Endpoint, error) {
 	var found []flow.Endpoint
 
@@ -49,9 +49,9 @@
 	return found, nil
 }
 
-// ask runs a question within the timeout.
-func (f *inspectFlags) ask(
-	ctx context.Context, question func(ctx context.Context, inspector *inspect.Inspector) subcommands.ExitStatus,
+// query runs a query within the timeout.
+func (f *inspectFlags) query(
+	ctx context.Context, run func(ctx context.Context, inspector *inspect.Inspector) subcommands.ExitStatus,
 ) subcommands.ExitStatus {
 	from, err := netip.ParseAddrPort(f.from)
 	if err != nil {
@@ -66,7 +66,7 @@
 	limited, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
 
-	status := question(limited, inspector)
+	status := run(limited, inspector)
 
 	if err := inspector.Close(); err != nil {
 		return fail(err)
--- a/internal/cli/cmd/keygen.go
+++ b/internal/cli/cmd/keygen.go
@@ -103,8 +103,8 @@
 	return authority.Issue(holder, c.out+certificateSuffix, c.out+keySuffix, time.Now())
 }
 
-// createPair writes a key pair and prints the public key as documents and
-// settings state it.
+// createPair writes a key pair and prints the public key in the format of
+// documents and settings.
 func (c *keygenCommand) createPair() error {
 	key, err := identity.CreateKey(c.out + keySuffix)
 	if err != nil {
--- a/internal/cli/cmd/members.go
+++ b/internal/cli/cmd/members.go
@@ -49,13 +49,13 @@
 	}
 
 	return c.run(ctx, func(ctx context.Context, client *controller.Client) (any, func(), error) {
-		reply, err := c.act(ctx, client)
+		reply, err := c.perform(ctx, client)
 
 		return reply, func() { showMembers(reply) }, err
 	})
 }
 
-func (c *membersCommand) act(ctx context.Context, client *controller.Client) (control.MembersReply, error) {
+func (c *membersCommand) perform(ctx context.Context, client *controller.Client) (control.MembersReply, error) {
 	if c.action == "list" {
 		return client.Members(ctx)
 	}
--- a/internal/cli/cmd/operator.go
+++ b/internal/cli/cmd/operator.go
@@ -23,18 +23,18 @@
 const (
 	// callTimeout covers an election and a redirect to the new leader.
 	callTimeout = 10 * time.Second
-	// progressAfter is how long a command may be silent.
-	progressAfter = 2 * time.Second
+	// progressDelay is how long a command waits before it prints that it waits.
+	progressDelay = 2 * time.Second
 )
 
-// operatorSettings tells the operator's commands where the controllers are and
-// who the operator is.
+// operatorSettings holds the addresses of the controllers and the identity of
+// the operator.
 type operatorSettings struct {
 	Controllers []netip.AddrPort `yaml:"controllers" validate:"min=1,max=10"`
 	Identity    identity.Files   `yaml:"identity" validate:"required"`
 }
 
-// operator holds the flags that all commands to the controllers share.
+// operator holds the flags shared by all commands that call the controllers.
 type operator struct {
 	settings string
 	json     bool
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
-	progress := time.AfterFunc(progressAfter, func() {
+	progress := time.AfterFunc(progressDelay, func() {
 		fmt.Fprintln(os.Stderr, "jayspindle: waiting for the controllers")
 	})
 	defer progress.Stop()
@@ -90,7 +90,8 @@
 	return statusOf(reply)
 }
 
-// statusOf returns the exit status for what became of a change.
+// statusOf returns the exit status for a reply: exitRefused if it reports a
+// change that was refused.
 func statusOf(reply any) subcommands.ExitStatus {
 	change, ok := reply.(control.ChangeReply)
 	if !ok {
@@ -105,7 +106,8 @@
 	}
 }
 
-// refusedOrFailed tells a refusal of the controllers from a failed call.
+// refusedOrFailed prints an error and returns exitRefused if the controllers
+// refused the call, exitFailure if the call failed.
 func refusedOrFailed(err error) subcommands.ExitStatus {
 	status := fail(err)
 
@@ -117,7 +119,7 @@
 	}
 }
 
-// showChange prints what became of a change.
+// showChange returns a function that prints the outcome of a change.
 func showChange(reply control.ChangeReply) func() {
 	return func() {
 		if reply.State == control.StateInvalid {
@@ -141,7 +143,7 @@
 }
 
 // pendingChange returns the pending change of an environment and checks that it
-// is the given document, so that co-owners sign only bytes that they hold.
+// has the given digest, so that co-owners sign only a document that they have.
 func pendingChange(
 	ctx context.Context, client *controller.Client, environment string, digest [32]byte,
 ) (control.Change, error) {
@@ -162,8 +164,8 @@
 	return *pending, nil
 }
 
-// newestPending returns the pending change, nil if there is none. The owners
-// have a history, but no environment with a status.
+// newestPending returns the pending change, nil if there is none. Changes of
+// owners have a history but no status, so it is read from the history.
 func newestPending(ctx context.Context, client *controller.Client, environment string) (*control.Change, error) {
 	if environment != catalog.Owners {
 		status, err := client.Status(ctx, environment)
--- a/internal/cli/cmd/output.go
+++ b/internal/cli/cmd/output.go
@@ -27,5 +27,5 @@
 	fmt.Fprintln(table, header)
 	write(table)
 
-	_ = table.Flush() // standard output: nothing is left to tell the operator with
+	_ = table.Flush() // if standard output fails, the error cannot be shown either
 }
--- a/internal/cli/cmd/program.go
+++ b/internal/cli/cmd/program.go
@@ -20,7 +20,7 @@
 // process describes the process that a subcommand runs with settings S.
 type process[S any] struct {
 	name string
-	// observe returns what telemetry needs to know from the settings.
+	// observe returns the settings that telemetry needs.
 	observe func(config *S) (telemetry.Settings, settings.Instance)
 	run     func(ctx context.Context, config *S, observed *telemetry.Telemetry) error
 }
@@ -36,9 +36,9 @@
 		return fail(err)
 	}
 
-	observing, instance := p.observe(config)
+	telemetrySettings, instance := p.observe(config)
 
-	observed, err := telemetry.New(observing, p.name, instance)
+	observed, err := telemetry.New(telemetrySettings, p.name, instance)
 	if err != nil {
 		return fail(err)
 	}
--- a/internal/cli/cmd/sign.go
+++ b/internal/cli/cmd/sign.go
@@ -33,8 +33,8 @@
 	flags.StringVar(&s.key, "key", "", "private key `file` of the co-owner")
 }
 
-// decide signs the decision on the pending change, which must be the document
-// in the file, and sends it.
+// decide signs the decision on the pending change and sends it. The change must
+// have the digest of the file or of -digest.
 func (s *signature) decide(
 	ctx context.Context, decision document.Decision,
 	send func(ctx context.Context, client *controller.Client, signed control.Sign) (control.ChangeReply, error),
@@ -82,8 +82,8 @@
 	}, nil
 }
 
-// decidedDigest returns the digest of the document that the co-owner has read,
-// or the one that the co-owner was told for a change of owners.
+// decidedDigest returns the digest of the document file, or the one given for a
+// change of owners.
 func (s *signature) decidedDigest() ([32]byte, error) {
 	if s.digest == "" {
 		data, err := readDocument(s.file)
--- a/internal/cli/cmd/submit.go
+++ b/internal/cli/cmd/submit.go
@@ -82,7 +82,8 @@
 	})
 }
 
-// baseVersion returns the version that the operator named, or that in force.
+// baseVersion returns the version that -base names, or the one in force if it is
+// empty.
 func baseVersion(ctx context.Context, client *controller.Client, environment, text string) (uint64, error) {
 	if text != "" {
 		base, err := strconv.ParseUint(text, 10, 64)
--- a/internal/cli/cmd/trace.go
+++ b/internal/cli/cmd/trace.go
@@ -16,8 +16,8 @@
 	"github.com/juju/errors"
 )
 
-// maxSpanLine bounds one line of a trace file in bytes.
-const maxSpanLine = 1 << 20
+// maxSpanLineBytes limits the length of a line in a trace file.
+const maxSpanLineBytes = 1 << 20
 
 type traceCommand struct {
 	request string
@@ -41,7 +41,7 @@
 	flags.BoolVar(&c.json, "json", false, "print JSON")
 }
 
-// span is what trace needs of an exported span.
+// span holds the fields of an exported span that trace uses.
 type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -119,7 +119,7 @@
 	defer file.Close() //nolint:errcheck // the file was only read
 
 	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, maxSpanLine)
+	lines.Buffer(nil, maxSpanLineBytes)
 
 	for number := 1; lines.Scan(); number++ {
 		var next span
@@ -134,8 +134,8 @@
 	return errors.Annotate(lines.Err(), name)
 }
 
-// linked returns the spans of the traces that spans link to: those of the
-// session on which a request arrived. Their hops come before the request's.
+// linked returns the spans of the traces that the given spans link to: those of
+// the session on which a request arrived, whose hops precede the request's.
 func linked(spans []span, traces map[string][]span) []span {
 	var found []span
 
@@ -173,8 +173,8 @@
 	return false
 }
 
-// printTree prints the spans below a parent. Spans whose parent was written by
-// a process whose file is not at hand are printed at the top.
+// printTree prints the spans below a parent. Spans whose parent is in none of the
+// files are printed at the top level.
 func printTree(spans []span, parent, indent string) {
 	known := make(map[string]bool, len(spans))
 	for _, item := range spans {
--- a/internal/cli/cmd/trace_test.go
+++ b/internal/cli/cmd/trace_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a trace without the hops of the session on which the request
-// arrived: they are in another trace, written by other processes.
+// TestLinkedTraces guards against printing a trace without the hops of the
+// session on which the request arrived. They belong to another trace, written by
+// other processes.
 func TestLinkedTraces(t *testing.T) {
 	is := is.New(t)
 	name := filepath.Join(t.TempDir(), "spans")
