--- a/internal/testing/capacity/callcost.go
+++ b/internal/testing/capacity/callcost.go
@@ -9,21 +9,21 @@
 	"jayspindle/internal/transport/link"
 )
 
-// The figures of single calls and of bulk transfers over a control link, both
-// ends.
+// The figures of single calls and of bulk transfers over a control link. Both
+// ends run in this process.
 const (
 	CallTime     ID = "call time"
 	TransferTime ID = "transfer time"
 )
 
-// calls measures renewals over one link, one after the other.
+// calls measures sequential renewals over one link.
 var calls = probe{
 	name: "calls", per: "call", sizes: []int{500, 1000, 2000, 4000},
 	labels: []label{{CallTime, "renewals over a link, both ends", unitSeconds}},
 	run: func(ctx context.Context, size int) (values []float64, err error) {
-		err = inGroup(ctx, false, func(g *group) error {
+		err = withCluster(ctx, false, func(c *cluster) error {
 			client := link.Dial(link.ClientOptions{
-				Addresses: []netip.AddrPort{g.upstream}, Identity: g.instance, Random: rand.New(rand.NewPCG(1, 1)),
+				Addresses: []netip.AddrPort{c.upstream}, Identity: c.instance, Random: rand.New(rand.NewPCG(1, 1)),
 			})
 			defer client.Close()
 
@@ -32,11 +32,11 @@
 
 			for i := range size + 1 {
 				if i == 1 {
-					began = processorTime() // the first call connects
+					began = processorTime() // the first call sets up the connection
 				}
 
 				var reply control.RenewReply
-				if err := client.Call(g.ctx, control.MethodRenew, &request, &reply); err != nil {
+				if err := client.Call(c.ctx, control.MethodRenew, &request, &reply); err != nil {
 					return err
 				}
 			}
@@ -56,19 +56,19 @@
 	name: "transfers", per: "byte", sizes: []int{8 << 20, 16 << 20, 24 << 20, 32 << 20},
 	labels: []label{{TransferTime, "bytes of views over a link, both ends", unitSeconds}},
 	run: func(ctx context.Context, size int) (values []float64, err error) {
-		err = inGroup(ctx, false, func(g *group) error {
+		err = withCluster(ctx, false, func(c *cluster) error {
 			client := link.Dial(link.ClientOptions{
-				Addresses: []netip.AddrPort{g.upstream}, Identity: g.instance, Random: rand.New(rand.NewPCG(1, 1)),
+				Addresses: []netip.AddrPort{c.upstream}, Identity: c.instance, Random: rand.New(rand.NewPCG(1, 1)),
 			})
 			defer client.Close()
 
-			if err := client.Call(g.ctx, control.MethodRenew, &control.Renew{Environment: environment}, nil); err != nil {
+			if err := client.Call(c.ctx, control.MethodRenew, &control.Renew{Environment: environment}, nil); err != nil {
 				return err
 			}
 
 			began := processorTime()
 
-			stream, err := client.Stream(g.ctx, methodChunks, size)
+			stream, err := client.Stream(c.ctx, methodChunks, size)
 			if err != nil {
 				return err
 			}
@@ -88,7 +88,7 @@
 	},
 }
 
-// methodChunks streams as many bytes as the request states.
+// methodChunks streams as many bytes as the request asks for.
 const methodChunks = "chunks"
 
 func sendChunks(_ context.Context, request *link.Request, send func(any) error) error {
--- a/internal/testing/capacity/callercost.go
+++ b/internal/testing/capacity/callercost.go
@@ -27,15 +27,15 @@
 )
 
 const (
-	callerName      = "service-00000"
-	callerIdleLimit = 30 * time.Second
-	// callerRequests is the number of requests on each connection.
-	callerRequests = 4
+	serviceName           = "service-00000"
+	callerIdleTimeout     = 30 * time.Second
+	requestsPerConnection = 4
 )
 
-// callers opens connections to an HTTP/3 server that is set up as an agent's.
-// For the memory of the server alone, the callers' sockets are closed without
-// notice: the server keeps its connections until its idle timeout.
+// callers opens connections to an HTTP/3 server that is configured like an
+// agent's. To measure the memory of the server alone, it closes the callers'
+// sockets without closing the connections: the server keeps them until the idle
+// timeout.
 var callers = probe{
 	name: "callers", per: "connection", sizes: []int{50, 100, 200, 400},
 	labels: []label{
@@ -44,8 +44,8 @@
 		{CallerRequest, "requests without body, both ends", unitSeconds},
 	},
 	run: func(ctx context.Context, size int) (values []float64, err error) {
-		err = inDirectory(func(directory string) error {
-			server, err := newTerminator(directory)
+		err = withTempDirectory(func(directory string) error {
+			server, err := newAgentServer(directory)
 			if err != nil {
 				return err
 			}
@@ -60,8 +60,8 @@
 	},
 }
 
-// terminator is the part of an agent that callers talk to.
-type terminator struct {
+// agentServer is the HTTP/3 server of an agent, without its backend server.
+type agentServer struct {
 	conn      *net.UDPConn
 	transport *quic.Transport
 	server    *http3.Server
@@ -69,7 +69,7 @@
 	running   conc.WaitGroup
 }
 
-func newTerminator(directory string) (*terminator, error) {
+func newAgentServer(directory string) (*agentServer, error) {
 	path := func(name string) string { return filepath.Join(directory, name) }
 
 	authority, err := identity.CreateAuthority(path("ca.pem"), path("ca.key"), "ca", time.Now())
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 
-	if err := authority.IssueService(callerName, path("s.pem"), path("s.key"), time.Now()); err != nil {
+	if err := authority.IssueService(serviceName, path("s.pem"), path("s.key"), time.Now()); err != nil {
 		return nil, err
 	}
 
@@ -91,12 +91,12 @@
 		return nil, err
 	}
 
-	keys, err := connid.New(contentsOf(1).Keys)
+	keys, err := connid.New(makeContents(1).Keys)
 	if err != nil {
 		return nil, err
 	}
 
-	t := &terminator{roots: x509.NewCertPool()}
+	t := &agentServer{roots: x509.NewCertPool()}
 	t.roots.AppendCertsFromPEM(trusted)
 
 	if t.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(loopback)); err != nil {
@@ -108,11 +108,11 @@
 	return t, t.serve(certificate)
 }
 
-func (t *terminator) serve(certificate tls.Certificate) error {
+func (t *agentServer) serve(certificate tls.Certificate) error {
 	config := &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS13}
 
 	listener, err := t.transport.Listen(http3.ConfigureTLSConfig(config), &quic.Config{
-		KeepAlivePeriod: time.Duration(callerKeepAlive) * time.Second, MaxIdleTimeout: callerIdleLimit,
+		KeepAlivePeriod: time.Duration(callerKeepAliveSeconds) * time.Second, MaxIdleTimeout: callerIdleTimeout,
 		DisablePathMTUDiscovery: true,
 	})
 	if err != nil {
@@ -134,36 +134,36 @@
 	return nil
 }
 
-func (t *terminator) close() {
+func (t *agentServer) close() {
 	closeAll(t.transport, t.conn)
 	t.running.Wait()
 }
 
-// caller is one connection with its own socket.
+// caller is a client connection with its own socket.
 type caller struct {
 	conn      *net.UDPConn
 	transport *quic.Transport
 	client    *http3.ClientConn
 }
 
-func (t *terminator) measure(ctx context.Context, count int) ([]float64, error) {
+func (t *agentServer) measure(ctx context.Context, count int) ([]float64, error) {
 	before := liveMemory()
 	callers := make([]*caller, 0, count)
 	began := processorTime()
 
 	for range count {
-		made, err := t.dial(ctx)
+		opened, err := t.dial(ctx)
 		if err != nil {
 			return nil, err
 		}
 
-		callers = append(callers, made)
+		callers = append(callers, opened)
 	}
 
 	connected := processorTime()
 	handshakes := connected - began
 
-	for range callerRequests {
+	for range requestsPerConnection {
 		for _, caller := range callers {
 			if err := caller.request(ctx); err != nil {
 				return nil, err
@@ -171,7 +171,7 @@
 		}
 	}
 
-	requests := (processorTime() - connected) / callerRequests
+	requests := (processorTime() - connected) / requestsPerConnection
 
 	for _, caller := range callers {
 		closeAll(caller.conn)
@@ -186,30 +186,31 @@
 	return []float64{liveMemory() - before, handshakes, requests}, nil
 }
 
-func (t *terminator) dial(ctx context.Context) (*caller, error) {
+func (t *agentServer) dial(ctx context.Context) (*caller, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(loopback))
 	if err != nil {
 		return nil, err
 	}
 
-	made := &caller{conn: conn, transport: &quic.Transport{Conn: conn}}
+	dialed := &caller{conn: conn, transport: &quic.Transport{Conn: conn}}
 	config := &tls.Config{
-		RootCAs: t.roots, ServerName: callerName, MinVersion: tls.VersionTLS13,
+		RootCAs: t.roots, ServerName: serviceName, MinVersion: tls.VersionTLS13,
 		NextProtos: []string{http3.NextProtoH3},
 	}
 
-	connection, err := made.transport.Dial(ctx, t.conn.LocalAddr(), config, &quic.Config{MaxIdleTimeout: callerIdleLimit})
+	connection, err := dialed.transport.Dial(ctx, t.conn.LocalAddr(), config,
+		&quic.Config{MaxIdleTimeout: callerIdleTimeout})
 	if err != nil {
 		return nil, err
 	}
 
-	made.client = (&http3.Transport{}).NewClientConn(connection)
+	dialed.client = (&http3.Transport{}).NewClientConn(connection)
 
-	return made, nil
+	return dialed, nil
 }
 
 func (c *caller) request(ctx context.Context) error {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://"+callerName+"/", http.NoBody)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://"+serviceName+"/", http.NoBody)
 	if err != nil {
 		return err
 	}
--- a/internal/testing/capacity/capacity.go
+++ b/internal/testing/capacity/capacity.go
@@ -1,18 +1,18 @@
-// Package capacity measures what the roles of the system cost and works out
-// their cost at the target size of the design page.
+// Package capacity measures the resource usage of each role of the system and
+// extrapolates it to the target size of the design page.
 //
 // A probe measures one part of the system at four or more sizes, several
-// times. The least-squares line of each repetition gives a slope and an
-// intercept; a Row of the result evaluates its formula with the lines of each
-// repetition, so that the spread of the measurements appears in its value.
+// times. Each repetition is fitted with a least-squares line. A Row evaluates
+// its formula once for each repetition, so that its value includes the spread
+// of the measurements.
 //
 // # Usage
 //
 //	report, err := capacity.Run(ctx, capacity.Options{Progress: os.Stderr})
 //	err = report.WriteTables(os.Stdout)
 //
-// Processor time is that of the whole process, so nothing else may run in it.
-// All sockets are on loopback. A complete run opens about a thousand sockets.
+// Processor time is measured for the whole process, so nothing else may run in
+// it. All sockets are on loopback. A complete run opens about a thousand sockets.
 package capacity
 
 import (
@@ -24,11 +24,11 @@
 
 // Options configures a run.
 type Options struct {
-	// Quick measures at an eighth of the sizes with two repetitions. Its figures
-	// show that the measurements work, not what the system costs.
+	// Quick measures at an eighth of the sizes with two repetitions. It checks
+	// that the measurements work; its figures are no basis for planning.
 	Quick bool
-	// Progress gets one line for each finished probe once the run has taken two
-	// seconds. It may be nil.
+	// Progress receives one line for each probe that finishes later than two
+	// seconds into the run. It may be nil.
 	Progress io.Writer
 }
 
@@ -37,8 +37,8 @@
 	quickRepetitions = 2
 	quickDivisor     = 8
 
-	// progressAfter is the time from which on a run reports progress.
-	progressAfter = 2 * time.Second
+	// progressDelay is the run time after which progress is reported.
+	progressDelay = 2 * time.Second
 )
 
 // Report is the result of a run.
@@ -53,7 +53,7 @@
 	Rows        []Row     `json:"rows"`
 }
 
-// Run makes all measurements and works out the rows. It takes some minutes.
+// Run runs all probes and calculates the rows. It takes several minutes.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	began := time.Now()
 	report := newReport(options)
@@ -66,7 +66,7 @@
 
 		report.Figures = append(report.Figures, figures...)
 
-		if elapsed := time.Since(began); options.Progress != nil && elapsed > progressAfter {
+		if elapsed := time.Since(began); options.Progress != nil && elapsed > progressDelay {
 			fmt.Fprintf(options.Progress, "%d of %d measurements after %s: %s\n",
 				i+1, len(probes), elapsed.Round(time.Second), probe.name)
 		}
@@ -82,7 +82,7 @@
 
 // probes lists all measurements in the order in which they run.
 var probes = []probe{
-	views, changes, tables, limiters, documents, versions, entries, snapshots, leases, publishing,
+	views, changes, tables, forwardingState, documents, versions, logEntries, snapshots, leases, publishing,
 	datagrams, serviceSockets, claims, calls, transfers, controlLinks, controlTraffic, callers,
 }
 
@@ -91,7 +91,8 @@
 	name  string
 	per   string // unit of the size
 	sizes []int
-	// concurrent probes count bytes, which other sizes do not disturb.
+	// concurrent runs all sizes at the same time. It is set for probes that only
+	// count bytes, which do not depend on the load of the machine.
 	concurrent bool
 	labels     []label
 	run        func(ctx context.Context, size int) ([]float64, error) // a value for each label
@@ -111,13 +112,13 @@
 	}
 
 	for range repetitions {
-		values, err := p.sweep(ctx, p.scaled(quick))
+		values, err := p.sweep(ctx, p.scaledSizes(quick))
 		if err != nil {
 			return nil, err
 		}
 
 		for i, figure := range figures {
-			figure.add(p.scaled(quick), values, i)
+			figure.add(p.scaledSizes(quick), values, i)
 		}
 	}
 
@@ -128,7 +129,7 @@
 	return figures, nil
 }
 
-func (p probe) scaled(quick bool) []int {
+func (p probe) scaledSizes(quick bool) []int {
 	sizes := make([]int, len(p.sizes))
 	for i, size := range p.sizes {
 		sizes[i] = size
--- a/internal/testing/capacity/capacity_test.go
+++ b/internal/testing/capacity/capacity_test.go
@@ -13,7 +13,7 @@
 	"jayspindle/internal/testing/measure"
 )
 
-// Guards against slopes and intercepts of another line than the one measured.
+// Guards against wrong slopes, intercepts and coefficients of determination.
 func TestFit(t *testing.T) {
 	for name, test := range map[string]struct {
 		values []float64
@@ -34,39 +34,39 @@
 	}
 }
 
-// Guards against a row that is said to fit although a repetition exceeded the
+// Guards against the verdict Fits for a row of which a repetition exceeds the
 // limit.
 func TestJudge(t *testing.T) {
 	is := is.New(t)
 	value := measure.Summary{Lowest: 2, Median: 3, Highest: 4}
 
-	is.Equal(judge(value, 4), Fits)
-	is.Equal(judge(value, 3.9), WithinSpread)
-	is.Equal(judge(value, 2), WithinSpread)
-	is.Equal(judge(value, 1.9), DoesNotFit)
-	is.Equal(judge(value, 0), NoLimit)
-	is.Equal(judge(measure.Summary{Median: math.NaN(), Highest: math.NaN()}, 1), DoesNotFit)
+	is.Equal(compareToLimit(value, 4), Fits)
+	is.Equal(compareToLimit(value, 3.9), WithinSpread)
+	is.Equal(compareToLimit(value, 2), WithinSpread)
+	is.Equal(compareToLimit(value, 1.9), DoesNotFit)
+	is.Equal(compareToLimit(value, 0), NoLimit)
+	is.Equal(compareToLimit(measure.Summary{Median: math.NaN(), Highest: math.NaN()}, 1), DoesNotFit)
 }
 
-// Guards against figures in a wrong unit.
+// Guards against values that are printed in the wrong unit or scale.
 func TestQuantity(t *testing.T) {
 	is := is.New(t)
 
 	for want, got := range map[string]string{
-		"1.50 ms":         quantity(0.0015, "s"),
-		"0.250 ns":        quantity(2.5e-10, "s"),
-		"256 MB":          quantity(256e6, "B"),
-		"4.00 KB/s":       quantity(4000, "B/s"),
-		"4.40% of a core": quantity(0.044, "core"),
-		"11500000":        quantity(11.5e6, ""),
-		"0 ns":            quantity(0, "s"),
+		"1.50 ms":         formatQuantity(0.0015, "s"),
+		"0.250 ns":        formatQuantity(2.5e-10, "s"),
+		"256 MB":          formatQuantity(256e6, "B"),
+		"4.00 KB/s":       formatQuantity(4000, "B/s"),
+		"4.40% of a core": formatQuantity(0.044, "core"),
+		"11500000":        formatQuantity(11.5e6, ""),
+		"0 ns":            formatQuantity(0, "s"),
 	} {
 		is.Equal(got, want)
 	}
 }
 
-// Guards against formulas that name figures which no probe measures, and
-// against tables without some of the rows.
+// Guards against formulas that use a figure that no probe measures, and against
+// rows that are missing from the tables.
 func TestDerive(t *testing.T) {
 	is := is.New(t)
 	report := newReport(Options{})
@@ -108,15 +108,15 @@
 	return values
 }
 
-// Guards against probes that fail or measure something else than their labels
-// say. The sizes are far below those of a run.
+// Guards against probes that fail, and against values that are missing or do not
+// fit their labels. The sizes are far below those of a run.
 func TestProbes(t *testing.T) {
 	for _, test := range []struct {
 		probe probe
 		size  int
 	}{
 		{views, 64},
-		{limiters, 16},
+		{forwardingState, 16},
 		{documents, 8},
 		{leases, 64},
 		{serviceSockets, 4},
@@ -139,17 +139,17 @@
 	}
 }
 
-// Guards against a processor time of datagrams that were dropped instead of
+// Guards against a figure that includes datagrams that were dropped instead of
 // forwarded: dropping is cheaper.
 func TestForwarded(t *testing.T) {
 	is := is.New(t)
-	contents := contentsOf(100)
+	contents := makeContents(100)
 
 	for i := range contents.Agents {
 		contents.Agents[i].Data = address(i, 7000)
 	}
 
-	_, err := forwarded(engineOf(view.New(contents)), batchSize, func(int) (view.ServiceID, []byte) {
+	_, err := measureForwarding(newBalancer(view.New(contents)), batchSize, func(int) (view.ServiceID, []byte) {
 		return 1, make([]byte, connid.MinInitialDatagram) // neither a first packet nor a known connection ID
 	})
 	is.True(err != nil)
--- a/internal/testing/capacity/world.go
+++ b/internal/testing/capacity/contents.go
@@ -31,8 +31,9 @@
 	},
 }
 
-// address returns an address that looks random and differs for each number
-// below 1<<24: the factor is odd. Consecutive ones would compress too well.
+// address returns a different address for each number below 1<<24, because the
+// factor is odd. It scatters the addresses: consecutive ones would compress
+// better than real ones.
 func address(number int, port uint16) netip.AddrPort {
 	number *= 0x9e3779b1
 	bytes := [4]byte{10, byte(number >> 16), byte(number >> 8), byte(number)}
@@ -40,65 +41,65 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(bytes), port)
 }
 
-func zone(number int) string {
+func zoneName(number int) string {
 	return fmt.Sprintf("region-%d-zone-%c", number%targetRegions, 'a'+number%targetZones)
 }
 
-func serviceOf(number int) view.Service {
+func makeService(number int) view.Service {
 	return view.Service{
 		ID: view.ServiceID(number + 1), Name: fmt.Sprintf("service-%05d", number), Address: address(number, 443),
 		Slots: 4, Connections: 2000, Buckets: buckets, Classes: classes,
 		Limits:    view.Limits{FirstPackets: 2000, FirstPacketsPerSource: 1000},
-		PublicKey: random32(number),
+		PublicKey: randomKey(number),
 	}
 }
 
-// random32 returns 32 bytes that compress as badly as a key.
-func random32(number int) []byte {
+// randomKey returns 32 bytes that are as incompressible as a real key.
+func randomKey(number int) []byte {
 	key := sha256.Sum256(binary.BigEndian.AppendUint64(nil, uint64(number)))
 
 	return key[:]
 }
 
-func agentOf(number, services int) view.Agent {
+func makeAgent(number, services int) view.Agent {
 	return view.Agent{
 		Incarnation: view.Incarnation(1_000_000 + number), Service: view.ServiceID(number%services + 1),
-		Zone: zone(number), Data: address(1<<20+number, 7000), Peer: address(1<<20+number, 7001),
+		Zone: zoneName(number), Data: address(1<<20+number, 7000), Peer: address(1<<20+number, 7001),
 		Weight: view.MaxWeight, State: view.Active,
 	}
 }
 
-// contentsOf returns a view with the given number of agents, and services and
-// balancers in the proportion of the target size.
-func contentsOf(agents int) view.Contents {
+// makeContents returns a view with the given number of agents. The numbers of
+// services and balancers are in proportion to the target size.
+func makeContents(agents int) view.Contents {
 	services := max(1, agents*targetServices/targetAgents)
-	made := view.Contents{
+	contents := view.Contents{
 		Environment: environment, Position: view.Position{Generation: 1, Index: 1_000_000}, Version: 13_000,
 		Keys: []view.Key{{ID: 3, Secret: [32]byte{3}}, {ID: 2, Secret: [32]byte{2}}, {ID: 1, Secret: [32]byte{1}}},
 	}
 
 	for i := range services {
-		made.Services = append(made.Services, serviceOf(i))
+		contents.Services = append(contents.Services, makeService(i))
 	}
 
 	for i := range agents {
-		made.Agents = append(made.Agents, agentOf(i, services))
+		contents.Agents = append(contents.Agents, makeAgent(i, services))
 	}
 
 	for i := range agents * targetBalancers / targetAgents {
-		made.Balancers = append(made.Balancers, view.Balancer{
-			Incarnation: view.Incarnation(2_000_000 + i), Zone: zone(i),
+		contents.Balancers = append(contents.Balancers, view.Balancer{
+			Incarnation: view.Incarnation(2_000_000 + i), Zone: zoneName(i),
 			Data: address(1<<21+i, 7000), Relay: address(1<<21+i, 7001), State: view.Active,
 		})
 	}
 
-	return made
+	return contents
 }
 
-// nextTo returns the delta that replaces the first count agents by new
+// replaceAgentsDelta returns a delta that replaces the first count agents by new
 // incarnations on the same addresses, as restarts do.
-func nextTo(old *view.View, count int) view.Delta {
-	delta := deltaFrom(old)
+func replaceAgentsDelta(old *view.View, count int) view.Delta {
+	delta := emptyDelta(old)
 
 	for i, agent := range old.Agents()[:count] {
 		delta.RemovedAgents = append(delta.RemovedAgents, agent.Incarnation)
@@ -109,9 +110,9 @@
 	return delta
 }
 
-// reweighted returns the delta that changes one agent in place.
-func reweighted(old *view.View) view.Delta {
-	delta := deltaFrom(old)
+// reweightDelta returns a delta that changes the weight of one agent.
+func reweightDelta(old *view.View) view.Delta {
+	delta := emptyDelta(old)
 	agent := old.Agents()[len(old.Agents())/2]
 	agent.Weight = agent.Weight%view.MaxWeight + 1
 	delta.Agents = []view.Agent{agent}
@@ -119,7 +120,7 @@
 	return delta
 }
 
-func deltaFrom(old *view.View) view.Delta {
+func emptyDelta(old *view.View) view.Delta {
 	to := old.Position()
 	to.Index++
 
--- a/internal/testing/capacity/cost.go
+++ b/internal/testing/capacity/cost.go
@@ -8,21 +8,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// enough is the processor time that a repeated operation is measured for at
-// least, and fewest the least number of its runs.
+// A repeated operation runs at least minRuns times, and until it has used at
+// least minMeasuredTime of processor time.
 const (
-	enough = 15 * time.Millisecond
-	fewest = 2
+	minMeasuredTime = 15 * time.Millisecond
+	minRuns         = 2
 )
 
 // processorTime returns the user and system time of the process in seconds.
 // It includes garbage collection on other threads.
-func processorTime() float64 { return usage(unix.RUSAGE_SELF) }
+func processorTime() float64 { return processorTimeOf(unix.RUSAGE_SELF) }
 
 // threadTime returns the processor time of the calling thread in seconds.
-func threadTime() float64 { return usage(unix.RUSAGE_THREAD) }
+func threadTime() float64 { return processorTimeOf(unix.RUSAGE_THREAD) }
 
-func usage(who int) float64 {
+func processorTimeOf(who int) float64 {
 	var used unix.Rusage
 	if err := unix.Getrusage(who, &used); err != nil {
 		panic(err) // fails for an invalid argument only
@@ -41,15 +41,15 @@
 	return float64(used.Maxrss) * 1024
 }
 
-// seconds returns the processor time of one operation, as the mean of as many
-// runs as take enough time.
-func seconds(operation func()) float64 {
+// secondsPerRun returns the mean processor time of one run of an operation,
+// which it repeats until the total can be measured.
+func secondsPerRun(operation func()) float64 {
 	runtime.GC()
 
 	began := processorTime()
 	runs := 0
 
-	for runs < fewest || processorTime()-began < enough.Seconds() {
+	for runs < minRuns || processorTime()-began < minMeasuredTime.Seconds() {
 		operation()
 		runs++
 	}
@@ -58,7 +58,7 @@
 }
 
 // liveMemory returns the heap in use and the stacks after a collection.
-// Two collections also clear pools.
+// It collects twice, because a sync.Pool keeps its items for one collection.
 func liveMemory() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -69,8 +69,8 @@
 	return float64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// memoryOf returns the live memory that build leaves behind in its result.
-func memoryOf[T any](build func() T) float64 {
+// retainedMemory returns the live memory that the result of build retains.
+func retainedMemory[T any](build func() T) float64 {
 	before := liveMemory()
 	kept := build()
 	after := liveMemory()
@@ -80,9 +80,10 @@
 	return after - before
 }
 
-// closeAll ends what a probe has used. Nothing is lost if that fails.
-func closeAll(used ...io.Closer) {
-	for _, closer := range used {
+// closeAll closes what a probe has used. It ignores errors, because the
+// measurement is complete by then.
+func closeAll(closers ...io.Closer) {
+	for _, closer := range closers {
 		closer.Close()
 	}
 }
--- a/internal/testing/capacity/documentcost.go
+++ b/internal/testing/capacity/documentcost.go
@@ -21,9 +21,10 @@
 	VersionMemory   ID = "version memory"
 )
 
-// documents measures documents by their services. Classes are spelled out for
-// the size, and shared by YAML anchors for the rest, because a document that
-// spells them out exceeds the limit of 1 MiB long before the target size.
+// documents measures documents by their number of services. Only DocumentBytes
+// repeats the classes in each service. The other figures share them by YAML
+// anchors, because a document that repeats them exceeds the limit of 1 MiB long
+// before the target size.
 var documents = probe{
 	name: "documents", per: "service", sizes: []int{838, 1675, 3350, targetServices},
 	labels: []label{
@@ -34,45 +35,45 @@
 		{DocumentEntries, "log entries of one change", unitBytes},
 	},
 	run: func(_ context.Context, size int) ([]float64, error) {
-		text := documentOf(size, true, 0)
-		journal := newJournal()
+		text := makeDocument(size, true, 0)
+		log := newCommandLog()
 		version := 0
 
-		parse := seconds(func() {
+		parse := secondsPerRun(func() {
 			if _, err := document.Parse("capacity.yaml", text); err != nil {
-				panic(err) // the text is constant but for the number of services
+				panic(err) // the text is fixed but for the number of services
 			}
 		})
-		accept := seconds(func() {
+		accept := secondsPerRun(func() {
 			version++
-			journal.accept(catalog.Trial, documentOf(size, true, version))
-			journal.state.View(catalog.Trial)
+			log.acceptDocument(catalog.Trial, makeDocument(size, true, version))
+			log.catalog.View(catalog.Trial)
 		})
 
 		return []float64{
-			float64(len(documentOf(size, false, 0))), float64(len(text)), parse, accept,
-			float64(journal.bytes) / float64(version),
+			float64(len(makeDocument(size, false, 0))), float64(len(text)), parse, accept,
+			float64(log.bytes) / float64(version),
 		}, nil
 	},
 }
 
-// versionsPart divides the services of the target size, because accepting
-// documents of the whole size would take too long.
-const versionsPart = 4
+// versionServicesDivisor reduces the number of services, because accepting
+// documents of the target size would take too long.
+const versionServicesDivisor = 4
 
-// versions measures what a controller keeps for each accepted version. The
-// sizes leave out the first versions, which fill the cache of parsed documents.
+// versions measures the memory of a controller for each accepted version. The
+// sizes start at 3, because the first versions fill the cache of parsed documents.
 var versions = probe{
 	name: "document versions", per: "kept version", sizes: []int{3, 5, 7, 9},
 	labels: []label{{VersionMemory, "live memory of the catalog, 1,675 services", unitBytes}},
 	run: func(_ context.Context, size int) ([]float64, error) {
-		return []float64{memoryOf(func() *catalog.Catalog {
-			journal := newJournal()
+		return []float64{retainedMemory(func() *catalog.Catalog {
+			log := newCommandLog()
 			for version := range size {
-				journal.accept(catalog.Trial, documentOf(targetServices/versionsPart, true, version+1))
+				log.acceptDocument(catalog.Trial, makeDocument(targetServices/versionServicesDivisor, true, version+1))
 			}
 
-			return journal.state
+			return log.catalog
 		})}, nil
 	},
 }
@@ -83,21 +84,21 @@
       {name: pass-report, method: POST, path: /reports, urgency: 1, idempotent: false, deadline: 3s, min_share: 20%},
       {name: route-sheet, method: GET, path: /sheets, urgency: 5, idempotent: true, deadline: 10s, min_share: 20%}]`
 
-// documentOf returns a document in which each version changes one service.
-func documentOf(services int, shared bool, version int) []byte {
+// makeDocument returns a document. Each version changes one service.
+func makeDocument(services int, shared bool, version int) []byte {
 	var text strings.Builder
 
-	key := document.FormatKey(keyOf(9).Public().(ed25519.PublicKey))
+	key := document.FormatKey(signingKey(9).Public().(ed25519.PublicKey))
 	text.WriteString("schema: 1\nservices:\n")
 
 	for i := range services {
-		written, slots := serviceClasses, 4
+		classList, slots := serviceClasses, 4
 		if shared {
-			written = "*c"
+			classList = "*c"
 		}
 
 		if shared && i == 0 {
-			written = "&c " + serviceClasses
+			classList = "&c " + serviceClasses
 		}
 
 		if i == version%services {
@@ -105,32 +106,32 @@
 		}
 
 		fmt.Fprintf(&text, "  - {name: service-%05d, address: 10.%d.%d.1:443, key: %q, slots: %d, connections: 2000, "+
-			"classes: %s}\n", i, i/200, i%200, key, slots, written)
+			"classes: %s}\n", i, i/200, i%200, key, slots, classList)
 	}
 
 	return []byte(text.String())
 }
 
-func keyOf(number byte) ed25519.PrivateKey {
+func signingKey(number byte) ed25519.PrivateKey {
 	seed := make([]byte, ed25519.SeedSize)
 	seed[0] = number
 
 	return ed25519.NewKeyFromSeed(seed)
 }
 
-// journal applies commands to a catalog and counts their bytes.
-type journal struct {
-	state *catalog.Catalog
-	index uint64
-	bytes int
+// commandLog applies commands to a catalog and counts their encoded bytes.
+type commandLog struct {
+	catalog *catalog.Catalog
+	index   uint64
+	bytes   int
 }
 
 var owners = [2]string{"ann", "bob"}
 
-func newJournal() *journal {
+func newCommandLog() *commandLog {
 	founding := catalog.Founding{}
 	for i, name := range owners {
-		founding.Owners[i] = catalog.Owner{Name: name, Key: keyOf(byte(i + 1)).Public().(ed25519.PublicKey)}
+		founding.Owners[i] = catalog.Owner{Name: name, Key: signingKey(byte(i + 1)).Public().(ed25519.PublicKey)}
 	}
 
 	state, err := catalog.New(founding)
@@ -138,39 +139,39 @@
 		panic(err) // the founding is constant
 	}
 
-	return &journal{state: state}
+	return &commandLog{catalog: state}
 }
 
 // apply applies a command that the catalog must accept.
-func (j *journal) apply(command catalog.Command) {
+func (l *commandLog) apply(command catalog.Command) {
 	encoded, err := command.Encode(time.Unix(1_800_000_000, 0))
 	if err != nil {
 		panic(err)
 	}
 
-	j.index++
-	j.bytes += len(encoded)
+	l.index++
+	l.bytes += len(encoded)
 
-	result := j.state.Apply(j.index, encoded)
+	result := l.catalog.Apply(l.index, encoded)
 	if err := result.Err(); err != nil {
 		panic(err)
 	}
 }
 
-// accept submits a document and signs it twice.
-func (j *journal) accept(environment string, text []byte) {
-	base := j.state.Version(environment)
+// acceptDocument submits a document and signs it as both owners.
+func (l *commandLog) acceptDocument(environment string, text []byte) {
+	base := l.catalog.Version(environment)
 	digest := document.Digest(text)
 
-	j.apply(catalog.Command{Submit: &catalog.Submit{
-		Environment: environment, Base: base, ChangeID: fmt.Sprintf("%s-%d", environment, j.index), Author: owners[0],
+	l.apply(catalog.Command{Submit: &catalog.Submit{
+		Environment: environment, Base: base, ChangeID: fmt.Sprintf("%s-%d", environment, l.index), Author: owners[0],
 		Document: text,
 	}})
 
 	for i, owner := range owners {
-		j.apply(catalog.Command{Sign: &catalog.Sign{
+		l.apply(catalog.Command{Sign: &catalog.Sign{
 			Environment: environment, Version: base + 1, Digest: digest, Owner: owner,
-			Signature: document.Sign(keyOf(byte(i+1)), environment, base+1, digest, document.Accept),
+			Signature: document.Sign(signingKey(byte(i+1)), environment, base+1, digest, document.Accept),
 		}})
 	}
 }
--- a/internal/testing/capacity/fit.go
+++ b/internal/testing/capacity/fit.go
@@ -11,7 +11,7 @@
 // ID names a figure in formulas.
 type ID string
 
-// Line is a straight line fitted to one repetition.
+// Line is the straight line fitted to the values of one repetition.
 type Line struct {
 	Slope     float64 `json:"slope"`
 	Intercept float64 `json:"intercept"`
@@ -36,7 +36,7 @@
 }
 
 // Fit returns the least-squares line through the points and its coefficient of
-// determination. There must be two different sizes at least.
+// determination. It needs at least two different sizes.
 func Fit(sizes []int, values []float64) (Line, float64) {
 	count := float64(len(sizes))
 
@@ -66,22 +66,22 @@
 	return line, covariance * covariance / varianceX / varianceY
 }
 
-// add fits the values of one repetition; values holds, for each size, one
-// value for each figure of the probe.
-func (f *Figure) add(sizes []int, values [][]float64, index int) {
-	own := make([]float64, len(sizes))
+// add fits a line to the values of one repetition. values has a row for each
+// size and a column for each figure of the probe.
+func (f *Figure) add(sizes []int, values [][]float64, column int) {
+	series := make([]float64, len(sizes))
 	for i := range sizes {
-		own[i] = values[i][index]
+		series[i] = values[i][column]
 	}
 
-	line, fit := Fit(sizes, own)
+	line, fit := Fit(sizes, series)
 
 	if len(f.Lines) == 0 || fit < f.Fit {
 		f.Fit = fit
 	}
 
 	f.Sizes = sizes
-	f.Values = append(f.Values, own)
+	f.Values = append(f.Values, series)
 	f.Lines = append(f.Lines, line)
 }
 
@@ -96,16 +96,16 @@
 	f.Slope, f.Intercept = measure.Summarize(slopes), measure.Summarize(intercepts)
 }
 
-// sweep measures all sizes once.
+// sweep runs the probe once at each size.
 func (p probe) sweep(ctx context.Context, sizes []int) ([][]float64, error) {
 	values := make([][]float64, len(sizes))
 
-	atOnce := 1
+	concurrency := 1
 	if p.concurrent {
-		atOnce = len(sizes)
+		concurrency = len(sizes)
 	}
 
-	group := pool.New().WithMaxGoroutines(atOnce).WithErrors().WithFirstError()
+	group := pool.New().WithMaxGoroutines(concurrency).WithErrors().WithFirstError()
 
 	for i, size := range sizes {
 		group.Go(func() error {
--- a/internal/testing/capacity/leasecost.go
+++ b/internal/testing/capacity/leasecost.go
@@ -24,9 +24,9 @@
 	ClaimHandle  ID = "claim handle"
 )
 
-var start = time.Unix(1_800_000_000, 0)
+var baseTime = time.Unix(1_800_000_000, 0)
 
-// leases measures the leader's work for renewals that arrive in full batches.
+// leases measures the leader's cost of renewals that arrive in full batches.
 var leases = probe{
 	name: "leases", per: "instance", sizes: []int{3550, 7100, 14_200, targetInstances},
 	labels: []label{
@@ -44,8 +44,8 @@
 		var err error
 
 		table := lease.New(3 * time.Second)
-		memory := memoryOf(func() *lease.Table {
-			err = table.Reconcile(start, members)
+		memory := retainedMemory(func() *lease.Table {
+			err = table.Reconcile(baseTime, members)
 
 			return table
 		})
@@ -54,24 +54,24 @@
 			return nil, err
 		}
 
-		batches, bytes, err := batchesOf(members)
+		batches, bytes, err := encodeBatches(members)
 		if err != nil {
 			return nil, err
 		}
 
-		now := start
-		handle := seconds(func() {
+		now := baseTime
+		renewTime := secondsPerRun(func() {
 			now = now.Add(time.Second)
 			for _, batch := range batches {
-				renew(table, now, batch)
+				renewBatch(table, now, batch)
 			}
 		})
 
-		return []float64{bytes, handle, seconds(func() { table.Expired(now) }), memory}, nil
+		return []float64{bytes, renewTime, secondsPerRun(func() { table.Expired(now) }), memory}, nil
 	},
 }
 
-func batchesOf(members []view.Incarnation) (batches [][]byte, bytes float64, err error) {
+func encodeBatches(members []view.Incarnation) (batches [][]byte, bytes float64, err error) {
 	for len(members) > 0 {
 		count := min(len(members), control.MaxRenewals)
 		message := control.Renew{Environment: environment}
@@ -95,11 +95,11 @@
 	return batches, bytes, nil
 }
 
-// renew does what the leader does with a batch.
-func renew(table *lease.Table, now time.Time, batch []byte) {
+// renewBatch decodes a batch and renews its leases, as the leader does.
+func renewBatch(table *lease.Table, now time.Time, batch []byte) {
 	message, err := control.Decode[control.Renew](batch)
 	if err != nil {
-		panic(err) // this package encoded it
+		panic(err) // encodeBatches encoded it
 	}
 
 	renewals := make([]lease.Renewal, len(message.Renewals))
@@ -112,7 +112,8 @@
 	table.Renew(now, renewals)
 }
 
-// publishing measures a publisher of the full view without its links.
+// publishing measures a publisher at the target size, without the links to its
+// subscribers.
 var publishing = probe{
 	name: "publishing", per: "subscriber", sizes: []int{300, 600, 1200, targetBalancers},
 	labels: []label{
@@ -121,7 +122,7 @@
 	},
 	run: func(_ context.Context, size int) ([]float64, error) {
 		publisher := rollout.New(environment)
-		current, now := fullView(), start
+		current, now := fullView(), baseTime
 		publisher.Apply(now, current)
 
 		cursors := make([]*rollout.Cursor, size)
@@ -131,10 +132,10 @@
 
 		const rounds = 10
 
-		var applying, finding float64
+		var applyTime, findTime float64
 
 		for range rounds {
-			current = applied(current, marshal(reweighted(current)))
+			current = mustApply(current, mustMarshal(reweightDelta(current)))
 			now = now.Add(rollout.CoalesceInterval)
 
 			began := processorTime()
@@ -146,38 +147,38 @@
 				cursor.Next(now, snapshot)
 			}
 
-			applying += published - began
-			finding += processorTime() - published
+			applyTime += published - began
+			findTime += processorTime() - published
 		}
 
-		return []float64{applying / rounds, finding / rounds}, nil
+		return []float64{applyTime / rounds, findTime / rounds}, nil
 	},
 }
 
-// answerBytes is the size of the stored answers that are measured.
+// answerBytes is the size of each stored answer.
 const answerBytes = 200
 
 // claims measures at-most-once records with tokens of 36 bytes, the length of a
 // UUID.
 var claims = probe{
-	name: "at-most-once records", per: "record", sizes: []int{7500, 15_000, 30_000, claimRecords},
+	name: "at-most-once records", per: "record", sizes: []int{7500, 15_000, 30_000, maxClaimRecords},
 	labels: []label{
 		{ClaimMemory, "live memory of the records of an agent", unitBytes},
 		{ClaimHandle, "granting and completing the records at one holder", unitSeconds},
 	},
 	run: func(_ context.Context, size int) ([]float64, error) {
-		store := claim.NewStore(1, 10*time.Minute, claimRecords)
+		store := claim.NewStore(1, 10*time.Minute, maxClaimRecords)
 		began := processorTime()
-		memory := memoryOf(func() *claim.Store {
+		memory := retainedMemory(func() *claim.Store {
 			for i := range size {
 				request := claim.Request{
 					Verb: claim.Grant, Seat: 1, Execution: claim.Execution{Agent: 2, Sequence: uint64(i)},
 					Key: claim.Key{Service: 1, Token: fmt.Sprintf("%036d", i)},
 				}
-				store.Handle(start, request)
+				store.Handle(baseTime, request)
 
 				request.Verb, request.Answer = claim.Complete, claim.NewAnswer(make([]byte, answerBytes))
-				store.Handle(start, request)
+				store.Handle(baseTime, request)
 			}
 
 			return store
--- a/internal/testing/capacity/linkcost.go
+++ b/internal/testing/capacity/linkcost.go
@@ -20,8 +20,8 @@
 	"jayspindle/internal/transport/link"
 )
 
-// The figures of control links. Both ends run in one process, so processor
-// time and memory are those of both ends together.
+// The figures of control links. Both ends run in this process, so processor time
+// and memory include both.
 const (
 	LinkMemory ID = "link memory"
 	LinkStart  ID = "link start"
@@ -35,15 +35,15 @@
 )
 
 const (
-	settleTime = 500 * time.Millisecond
-	// searchTime is how long the links search for their path MTU after they
-	// were opened. Within 1 s the large probes were most of the bytes.
-	searchTime = 6 * time.Second
-	idleTime   = 2 * time.Second // one heartbeat and two renewals
-	waitLimit  = 20 * time.Second
+	settleDelay = 500 * time.Millisecond
+	// mtuDiscoveryTime is how long the links send path MTU probes after they were
+	// opened. Within 1 s of that, the probes are most of the bytes.
+	mtuDiscoveryTime = 6 * time.Second
+	idleWindow       = 2 * time.Second // one heartbeat and two renewals
+	waitTimeout      = 20 * time.Second
 )
 
-// controlLinks measures what instances cost that renew and follow views.
+// controlLinks measures instances that renew their leases and watch the view.
 var controlLinks = probe{
 	name: "control links", per: "instance", sizes: []int{16, 32, 64, 128},
 	labels: []label{
@@ -53,19 +53,19 @@
 		{LinkChange, "a change of a small view, both ends", unitSeconds},
 	},
 	run: func(ctx context.Context, size int) (values []float64, err error) {
-		err = inGroup(ctx, false, func(g *group) error {
+		err = withCluster(ctx, false, func(c *cluster) error {
 			before, began := liveMemory(), processorTime()
-			if err := g.join(size); err != nil {
+			if err := c.startInstances(size); err != nil {
 				return err
 			}
 
-			starting := processorTime() - began
+			startTime := processorTime() - began
 			memory := liveMemory() - before
 
-			time.Sleep(settleTime)
+			time.Sleep(settleDelay)
 
-			idle, changing, err := g.phases(processorTime, dense)
-			values = []float64{memory, starting, idle, changing}
+			idle, changing, err := c.measurePhases(processorTime, denseChanges)
+			values = []float64{memory, startTime, idle, changing}
 
 			return err
 		})
@@ -74,8 +74,8 @@
 	},
 }
 
-// controlTraffic measures the bytes of the same instances in both directions,
-// with 28 bytes of IPv4 and UDP headers for each datagram.
+// controlTraffic measures the traffic of such instances in both directions,
+// including 28 bytes of IPv4 and UDP headers for each datagram.
 var controlTraffic = probe{
 	name: "control traffic", per: "instance", sizes: []int{4, 8, 12, 16}, concurrent: true,
 	labels: []label{
@@ -86,30 +86,30 @@
 	},
 	run: func(ctx context.Context, size int) ([]float64, error) {
 		var (
-			values []float64
-			kept   float64
+			values    []float64
+			keepAlive float64
 		)
 
 		both := pool.New().WithErrors().WithFirstError()
 		both.Go(func() error {
-			return inGroup(ctx, true, func(g *group) error {
-				if err := g.join(size); err != nil {
+			return withCluster(ctx, true, func(c *cluster) error {
+				if err := c.startInstances(size); err != nil {
 					return err
 				}
 
-				starting := g.proxy.total()
+				startBytes := c.proxy.totalBytes()
 
-				time.Sleep(searchTime)
+				time.Sleep(mtuDiscoveryTime)
 
-				idle, changing, err := g.phases(g.proxy.total, sparse)
-				values = []float64{starting, idle, changing}
+				idle, changing, err := c.measurePhases(c.proxy.totalBytes, sparseChanges)
+				values = []float64{startBytes, idle, changing}
 
 				return err
 			})
 		})
 		both.Go(func() error {
-			return inGroup(ctx, true, func(g *group) (err error) {
-				kept, err = g.keepAlive(size)
+			return withCluster(ctx, true, func(c *cluster) (err error) {
+				keepAlive, err = c.measureKeepAlive(size)
 
 				return err
 			})
@@ -117,78 +117,78 @@
 
 		err := both.Wait()
 
-		return append(values, kept), err
+		return append(values, keepAlive), err
 	},
 }
 
-// keepAlive returns the bytes a second of links without calls.
-func (g *group) keepAlive(count int) (float64, error) {
+// measureKeepAlive returns the bytes per second of links that are only kept alive.
+func (c *cluster) measureKeepAlive(count int) (float64, error) {
 	for i := range count {
 		client := link.Dial(link.ClientOptions{
-			Addresses: []netip.AddrPort{g.upstream}, Identity: g.instance, Random: rand.New(rand.NewPCG(1, uint64(i))),
+			Addresses: []netip.AddrPort{c.upstream}, Identity: c.instance, Random: rand.New(rand.NewPCG(1, uint64(i))),
 		})
 		defer client.Close()
 
-		if err := client.Call(g.ctx, control.MethodRenew, &control.Renew{Environment: environment}, nil); err != nil {
+		if err := client.Call(c.ctx, control.MethodRenew, &control.Renew{Environment: environment}, nil); err != nil {
 			return 0, err
 		}
 	}
 
-	time.Sleep(searchTime)
+	time.Sleep(mtuDiscoveryTime)
 
-	began, before := time.Now(), g.proxy.total()
+	began, before := time.Now(), c.proxy.totalBytes()
 
-	time.Sleep(idleTime)
+	time.Sleep(idleWindow)
 
-	return (g.proxy.total() - before) / time.Since(began).Seconds(), nil
+	return (c.proxy.totalBytes() - before) / time.Since(began).Seconds(), nil
 }
 
-// group is one upstream and the instances that follow it.
-type group struct {
-	ctx       context.Context
-	publisher *rollout.Publisher
-	instance  *identity.Store
-	upstream  netip.AddrPort
-	proxy     *proxy // nil if the bytes are not counted
-	current   *view.View
-	running   *conc.WaitGroup
-	joined    atomic.Int64 // instances that are ready
-	applied   atomic.Int64 // views put in force
-	known     atomic.Uint32
+// cluster is a controller's link server and the instances that watch its view.
+type cluster struct {
+	ctx          context.Context
+	publisher    *rollout.Publisher
+	instance     *identity.Store
+	upstream     netip.AddrPort
+	proxy        *proxy // nil if bytes are not counted
+	current      *view.View
+	running      *conc.WaitGroup
+	ready        atomic.Int64 // number of instances
+	appliedViews atomic.Int64 // by all instances together
+	announced    atomic.Uint32
 }
 
-// inGroup runs a function with an upstream and ends everything afterwards.
-func inGroup(ctx context.Context, counted bool, use func(*group) error) error {
-	return inDirectory(func(directory string) error {
+// withCluster calls run with a cluster and stops the cluster afterwards.
+func withCluster(ctx context.Context, countBytes bool, run func(*cluster) error) error {
+	return withTempDirectory(func(directory string) error {
 		ctx, cancel := context.WithCancel(ctx)
 
 		var running conc.WaitGroup
 		defer running.Wait()
 		defer cancel()
 
-		g := &group{ctx: ctx, running: &running, publisher: rollout.New(environment), current: view.New(contentsOf(100))}
-		if err := g.open(directory, counted); err != nil {
+		c := &cluster{ctx: ctx, running: &running, publisher: rollout.New(environment), current: view.New(makeContents(100))}
+		if err := c.start(directory, countBytes); err != nil {
 			return err
 		}
 
-		return use(g)
+		return run(c)
 	})
 }
 
-func (g *group) open(directory string, counted bool) error {
-	controller, instance, err := identitiesIn(directory)
+func (c *cluster) start(directory string, countBytes bool) error {
+	controller, instance, err := createIdentities(directory)
 	if err != nil {
 		return err
 	}
 
-	g.instance = instance
+	c.instance = instance
 
 	server, err := link.Listen(loopback, link.ServerOptions{Identity: controller, Logger: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		return err
 	}
 
-	server.HandleStream(control.MethodWatch, rollout.Handler(g.publisher))
+	server.HandleStream(control.MethodWatch, rollout.Handler(c.publisher))
 	server.HandleStream(methodChunks, sendChunks)
 	server.Handle(control.MethodRenew, func(_ context.Context, request *link.Request) (any, error) {
 		var message control.Renew
@@ -196,34 +196,34 @@
 		return &control.RenewReply{}, request.Decode(&message)
 	})
 	// Instances are ready once the view contains their incarnation.
-	members := g.current.Agents()
+	members := c.current.Agents()
 
 	server.Handle(control.MethodAnnounce, func(_ context.Context, request *link.Request) (any, error) {
 		var message control.Announce
 
-		member := members[int(g.known.Add(1))%len(members)]
+		member := members[int(c.announced.Add(1))%len(members)]
 
 		return &control.AnnounceReply{Incarnation: member.Incarnation, Weight: 100}, request.Decode(&message)
 	})
 
-	g.upstream = server.Address()
-	g.publisher.Apply(time.Now(), g.current)
-	g.running.Go(func() { _ = server.Serve(g.ctx, 0) }) // ends with the context
-	g.running.Go(g.tick)
+	c.upstream = server.Address()
+	c.publisher.Apply(time.Now(), c.current)
+	c.running.Go(func() { _ = server.Serve(c.ctx, 0) }) // ends with the context
+	c.running.Go(c.runPublisher)
 
-	if counted {
-		if g.proxy, err = newProxy(g.upstream); err != nil {
+	if countBytes {
+		if c.proxy, err = newProxy(c.upstream); err != nil {
 			return err
 		}
 
-		g.upstream = g.proxy.address()
-		g.running.Go(func() { g.proxy.run(g.ctx) })
+		c.upstream = c.proxy.address()
+		c.running.Go(func() { c.proxy.run(c.ctx) })
 	}
 
 	return nil
 }
 
-func identitiesIn(directory string) (controller, instance *identity.Store, err error) {
+func createIdentities(directory string) (controller, instance *identity.Store, err error) {
 	path := func(name string) string { return filepath.Join(directory, name) }
 
 	authority, err := identity.CreateAuthority(path("ca.pem"), path("ca.key"), "ca", time.Now())
@@ -254,95 +254,96 @@
 	return controller, instance, err
 }
 
-// tick does what a controller does for its publisher.
-func (g *group) tick() {
+// runPublisher drives the publisher as a controller does.
+func (c *cluster) runPublisher() {
 	ticker := time.NewTicker(rollout.CoalesceInterval)
 	defer ticker.Stop()
 
 	for {
 		select {
 		case now := <-ticker.C:
-			g.publisher.Confirm(now)
-			g.publisher.Tick(now)
-		case <-g.ctx.Done():
+			c.publisher.Confirm(now)
+			c.publisher.Tick(now)
+		case <-c.ctx.Done():
 			return
 		}
 	}
 }
 
-// join starts instances and waits until all of them are ready.
-func (g *group) join(count int) error {
+// startInstances starts instances and waits until all of them are ready.
+func (c *cluster) startInstances(count int) error {
 	for i := range count {
 		instance := member.New(member.Options{
-			Environment: environment, Upstreams: []netip.AddrPort{g.upstream}, Identity: g.instance,
+			Environment: environment, Upstreams: []netip.AddrPort{c.upstream}, Identity: c.instance,
 			Announce: func(boot []byte) control.Announce {
 				return control.Announce{
-					Environment: environment, Role: control.RoleBalancer, Zone: zone(i),
+					Environment: environment, Role: control.RoleBalancer, Zone: zoneName(i),
 					Data: address(i, 7000), Peer: address(i, 7001), BootID: boot,
 				}
 			},
 			Load:   func() uint8 { return 50 },
-			OnView: func(*view.View) { g.applied.Add(1) },
+			OnView: func(*view.View) { c.appliedViews.Add(1) },
 			Logger: slog.New(slog.DiscardHandler),
 			Random: rand.New(rand.NewPCG(1, uint64(i))),
 		})
 
-		g.running.Go(func() {
-			instance.Run(g.ctx)
+		c.running.Go(func() {
+			instance.Run(c.ctx)
 			instance.Close()
 		})
-		g.running.Go(func() {
-			if instance.Wait(g.ctx) == nil {
-				g.joined.Add(1)
+		c.running.Go(func() {
+			if instance.Wait(c.ctx) == nil {
+				c.ready.Add(1)
 			}
 		})
 	}
 
-	return g.wait(&g.joined, int64(count))
+	return c.waitFor(&c.ready, int64(count))
 }
 
-// pace is a number of changes and the time between two of them.
-type pace struct {
+// changeSchedule is a number of changes and the interval between them.
+type changeSchedule struct {
 	changes  int
 	interval time.Duration
 }
 
-// Changes come closer together than a publisher allows where processor time is
-// measured: that of five changes was lost in the noise of idle links. For
-// bytes they do not, because acknowledgements would cover several changes.
+// Processor time is measured with denseChanges, which come faster than a
+// publisher coalesces them: the processor time of five changes disappears in the
+// noise of idle links. Bytes are measured with sparseChanges, because one
+// acknowledgement would cover several dense changes.
 var (
-	dense  = pace{changes: 50, interval: 25 * time.Millisecond}
-	sparse = pace{changes: 5, interval: rollout.CoalesceInterval + rollout.CoalesceInterval/10}
+	denseChanges  = changeSchedule{changes: 50, interval: 25 * time.Millisecond}
+	sparseChanges = changeSchedule{changes: 5, interval: rollout.CoalesceInterval + rollout.CoalesceInterval/10}
 )
 
-// phases returns how much a second without changes costs, and how much a
-// change adds to it.
-func (g *group) phases(cost func() float64, pace pace) (idle, change float64, err error) {
-	began, start := time.Now(), cost()
+// measurePhases returns the cost of a second without changes, and the additional
+// cost of a change.
+func (c *cluster) measurePhases(cost func() float64, schedule changeSchedule) (idle, change float64, err error) {
+	began, costBefore := time.Now(), cost()
 
-	time.Sleep(idleTime)
+	time.Sleep(idleWindow)
 
-	idle = (cost() - start) / time.Since(began).Seconds()
-	began, start = time.Now(), cost()
-	want := g.applied.Load() + int64(pace.changes)*g.joined.Load()
+	idle = (cost() - costBefore) / time.Since(began).Seconds()
+	began, costBefore = time.Now(), cost()
+	want := c.appliedViews.Load() + int64(schedule.changes)*c.ready.Load()
 
-	for i := range pace.changes {
-		g.current = applied(g.current, marshal(reweighted(g.current)))
-		g.publisher.Apply(began.Add(time.Duration(i)*rollout.CoalesceInterval), g.current)
-		time.Sleep(pace.interval)
+	for i := range schedule.changes {
+		c.current = mustApply(c.current, mustMarshal(reweightDelta(c.current)))
+		c.publisher.Apply(began.Add(time.Duration(i)*rollout.CoalesceInterval), c.current)
+		time.Sleep(schedule.interval)
 	}
 
-	if err := g.wait(&g.applied, want); err != nil {
+	if err := c.waitFor(&c.appliedViews, want); err != nil {
 		return 0, 0, err
 	}
 
-	change = (cost() - start - idle*time.Since(began).Seconds()) / float64(pace.changes)
+	change = (cost() - costBefore - idle*time.Since(began).Seconds()) / float64(schedule.changes)
 
 	return idle, change, nil
 }
 
-func (g *group) wait(counter *atomic.Int64, want int64) error {
-	deadline := time.NewTimer(waitLimit)
+func (c *cluster) waitFor(counter *atomic.Int64, want int64) error {
+	deadline := time.NewTimer(waitTimeout)
 	defer deadline.Stop()
 
 	poll := time.NewTicker(5 * time.Millisecond)
@@ -353,8 +354,8 @@
 		case <-poll.C:
 		case <-deadline.C:
 			return newError("wait for instances", KindProbe, context.DeadlineExceeded)
-		case <-g.ctx.Done():
-			return context.Cause(g.ctx)
+		case <-c.ctx.Done():
+			return context.Cause(c.ctx)
 		}
 	}
 
--- a/internal/testing/capacity/logcost.go
+++ b/internal/testing/capacity/logcost.go
@@ -27,8 +27,9 @@
 	CatalogMemory   ID = "catalog memory"
 )
 
-// entries measures restarts in the log: draining, gone and a new announcement.
-var entries = probe{
+// logEntries measures the log entries of restarts: draining, gone and a new
+// announcement.
+var logEntries = probe{
 	name: "log entries", per: "restart", sizes: []int{100, 200, 400, 800},
 	labels: []label{
 		{RestartEntries, "entries of a restart in the log", unitBytes},
@@ -37,31 +38,31 @@
 		{SaveBytes, "files of the log", unitBytes},
 	},
 	run: func(_ context.Context, size int) ([]float64, error) {
-		state, err := populated(targetAgents / 8)
+		log, err := populatedCatalog(targetAgents / 8)
 		if err != nil {
 			return nil, err
 		}
 
-		before, began := state.bytes, processorTime()
+		bytesBefore, began := log.bytes, processorTime()
 
 		for i := range size {
-			state.restart(i)
+			log.restartAgent(i)
 		}
 
-		applying := processorTime() - began
-		written := state.bytes - before
+		applyTime := processorTime() - began
+		entryBytes := log.bytes - bytesBefore
 
-		elapsed, stored, err := saved(3*size, written/(3*size))
+		elapsed, fileBytes, err := saveEntries(3*size, entryBytes/(3*size))
 		if err != nil {
 			return nil, err
 		}
 
-		return []float64{float64(written), applying, elapsed, stored}, nil
+		return []float64{float64(entryBytes), applyTime, elapsed, fileBytes}, nil
 	},
 }
 
-// snapshots measures the whole state of a controller, with one version of the
-// document. Saving is elapsed time on this machine's disk.
+// snapshots measures snapshots of a controller's state, which includes one version
+// of the document. Saving is measured as elapsed time on the local disk.
 var snapshots = probe{
 	name: "snapshots", per: "agent", sizes: agentSizes,
 	labels: []label{
@@ -72,108 +73,112 @@
 		{CatalogMemory, "live memory of the catalog with its view", unitBytes},
 	},
 	run: func(_ context.Context, size int) ([]float64, error) {
-		// The first call fills the cache, which is no part of the catalog.
-		if _, err := populated(size); err != nil {
+		// The first call fills populatedSnapshots, which must not count as memory of
+		// the catalog.
+		if _, err := populatedCatalog(size); err != nil {
 			return nil, err
 		}
 
 		var (
-			state  *journal
-			failed error
+			log         *commandLog
+			populateErr error
 		)
 
-		memory := memoryOf(func() *view.View {
-			state, failed = populated(size)
+		memory := retainedMemory(func() *view.View {
+			log, populateErr = populatedCatalog(size)
 
-			return state.state.View(catalog.Trial)
+			return log.catalog.View(catalog.Trial)
 		})
-		if failed != nil {
-			return nil, failed
+		if populateErr != nil {
+			return nil, populateErr
 		}
 
-		encoded, err := state.state.Snapshot()
+		encoded, err := log.catalog.Snapshot()
 		if err != nil {
 			return nil, err
 		}
 
-		elapsed, err := savedSnapshot(encoded)
+		elapsed, err := saveSnapshot(encoded)
 		if err != nil {
 			return nil, err
 		}
 
 		return []float64{
 			float64(len(encoded)),
-			seconds(func() { _, err = state.state.Snapshot() }),
-			seconds(func() { err = newJournal().state.Restore(encoded) }),
+			secondsPerRun(func() { _, err = log.catalog.Snapshot() }),
+			secondsPerRun(func() { err = newCommandLog().catalog.Restore(encoded) }),
 			elapsed,
 			memory,
 		}, err
 	},
 }
 
-// populatedStates holds the snapshots of populated catalogs by their agents:
-// the signatures of 26,000 announcements take seconds.
-var populatedStates sync.Map
+// populatedSnapshots caches the snapshots of populated catalogs by their number of
+// agents, because signing 26,000 announcements takes seconds.
+var populatedSnapshots sync.Map
 
-// populated returns a catalog with the given number of agents, and services in
-// proportion.
-func populated(agents int) (*journal, error) {
-	known, ok := populatedStates.Load(agents)
+// populatedCatalog returns a log whose catalog has the given number of agents, and
+// services in proportion to the target size.
+func populatedCatalog(agents int) (*commandLog, error) {
+	cached, ok := populatedSnapshots.Load(agents)
 	if !ok {
-		encoded, err := populate(agents).state.Snapshot()
+		encoded, err := populate(agents).catalog.Snapshot()
 		if err != nil {
 			return nil, err
 		}
 
-		known, _ = populatedStates.LoadOrStore(agents, encoded)
+		cached, _ = populatedSnapshots.LoadOrStore(agents, encoded)
 	}
 
-	made := newJournal()
-	made.index = uint64(agents) + 3 // the document's three entries come first
+	log := newCommandLog()
+	log.index = uint64(agents) + 3 // the submission of the document and its two signatures come first
 
-	return made, made.state.Restore(known.([]byte))
+	return log, log.catalog.Restore(cached.([]byte))
 }
 
-func populate(agents int) *journal {
+func populate(agents int) *commandLog {
 	services := max(1, agents*targetServices/targetAgents)
-	made := newJournal()
-	made.accept(catalog.Trial, documentOf(services, true, 0))
+	log := newCommandLog()
+	log.acceptDocument(catalog.Trial, makeDocument(services, true, 0))
 
 	for i := range agents {
-		made.apply(announceOf(i, services, 0))
+		log.apply(announceCommand(i, services, 0))
 	}
 
-	return made
+	return log
 }
 
-func announceOf(number, services, boot int) catalog.Command {
+func announceCommand(number, services, boot int) catalog.Command {
 	announce := catalog.Announce{
-		Environment: catalog.Trial, Role: catalog.RoleAgent, Service: serviceOf(number % services).Name,
-		Zone: zone(number), Data: address(1<<20+number, 7000), Peer: address(1<<20+number, 7001),
+		Environment: catalog.Trial, Role: catalog.RoleAgent, Service: makeService(number % services).Name,
+		Zone: zoneName(number), Data: address(1<<20+number, 7000), Peer: address(1<<20+number, 7001),
 	}
 	binary.BigEndian.PutUint64(announce.Boot[:], uint64(number+1))
 	binary.BigEndian.PutUint64(announce.Boot[8:], uint64(boot))
-	announce.Signature = ed25519.Sign(keyOf(9), announce.SignedText())
+	announce.Signature = ed25519.Sign(signingKey(9), announce.SignedText())
 
 	return catalog.Command{Announce: &announce}
 }
 
-// restart drains, removes and announces the agent with the given number.
-func (j *journal) restart(number int) {
-	agent := j.state.View(catalog.Trial).Agents()[0]
+// restartAgent drains, removes and announces again the agent with the given
+// number. Agents must be restarted in the order of their numbers, because it takes
+// the first agent of the view, which has the oldest incarnation.
+func (l *commandLog) restartAgent(number int) {
+	agent := l.catalog.View(catalog.Trial).Agents()[0]
 
 	for _, phase := range []catalog.Phase{catalog.PhaseDraining, catalog.PhaseGone} {
-		j.apply(catalog.Command{Leave: &catalog.Leave{
+		l.apply(catalog.Command{Leave: &catalog.Leave{
 			Environment: catalog.Trial, Incarnation: agent.Incarnation, Phase: phase,
 		}})
 	}
 
-	j.apply(announceOf(number, 1, 1))
+	l.apply(announceCommand(number, 1, 1))
 }
 
-// saved returns the time to save entries one by one and the size of the files.
-func saved(count, length int) (elapsed, stored float64, err error) {
-	err = inDirectory(func(directory string) error {
+// saveEntries returns the elapsed time to save entries one by one and the size of
+// the files.
+func saveEntries(count, length int) (elapsed, fileBytes float64, err error) {
+	err = withTempDirectory(func(directory string) error {
 		log, err := wal.Open(directory)
 		if err != nil {
 			return err
@@ -189,16 +194,16 @@
 		}
 
 		elapsed = time.Since(began).Seconds()
-		stored, err = sizeOf(directory)
+		fileBytes, err = directorySize(directory)
 
 		return firstError(err, log.Close())
 	})
 
-	return elapsed, stored, err
+	return elapsed, fileBytes, err
 }
 
-func savedSnapshot(data []byte) (elapsed float64, err error) {
-	err = inDirectory(func(directory string) error {
+func saveSnapshot(data []byte) (elapsed float64, err error) {
+	err = withTempDirectory(func(directory string) error {
 		log, err := wal.Open(directory)
 		if err != nil {
 			return err
@@ -214,17 +219,18 @@
 	return elapsed, err
 }
 
-// inDirectory runs a function with a directory that is removed afterwards.
-func inDirectory(use func(directory string) error) error {
+// withTempDirectory calls run with a temporary directory, which it removes
+// afterwards.
+func withTempDirectory(run func(directory string) error) error {
 	directory, err := os.MkdirTemp("", "jayspindle-capacity-")
 	if err != nil {
 		return err
 	}
 
-	return firstError(use(directory), os.RemoveAll(directory))
+	return firstError(run(directory), os.RemoveAll(directory))
 }
 
-func sizeOf(directory string) (float64, error) {
+func directorySize(directory string) (float64, error) {
 	files, err := os.ReadDir(directory)
 	if err != nil {
 		return 0, err
--- a/internal/testing/capacity/packetcost.go
+++ b/internal/testing/capacity/packetcost.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	batchSize     = 64
-	maxDatagram   = 1500
-	payloadLength = 1200
+	batchSize        = 64
+	maxDatagramBytes = 1500
+	payloadBytes     = 1200
 )
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// datagrams measures a balancer's thread at the target size: receive,
-// classify, route, seal and send. The sink does not read.
+// datagrams measures the worker thread of a balancer at the target size:
+// receive, classify, route, seal and send. Nothing reads the destination socket.
 var datagrams = probe{
 	name: "datagrams", per: "datagram", sizes: []int{8192, 16_384, 24_576, 32_768},
 	labels: []label{
@@ -42,24 +42,24 @@
 		{EstablishedPacket, "forwarding packets of established flows", unitSeconds},
 	},
 	run: func(_ context.Context, size int) ([]float64, error) {
-		made, err := fabric()
+		setup, err := sharedSetup()
 		if err != nil {
 			return nil, err
 		}
 
-		first, err := forwarded(made.engine, size, firstPacket)
+		first, err := measureForwarding(setup.balancer, size, makeFirstPacket)
 		if err != nil {
 			return nil, err
 		}
 
-		keys, err := connid.New(made.whole.Keys())
+		keys, err := connid.New(setup.full.Keys())
 		if err != nil {
 			return nil, err
 		}
 
-		established, err := forwarded(made.engine, size, func(number int) (view.ServiceID, []byte) {
-			agent := made.whole.Agents()[number*7919%targetAgents]
-			packet := make([]byte, payloadLength)
+		established, err := measureForwarding(setup.balancer, size, func(number int) (view.ServiceID, []byte) {
+			agent := setup.full.Agents()[number*7919%targetAgents]
+			packet := make([]byte, payloadBytes)
 			packet[0] = 0x40
 			keys.Seal(packet[1:], agent.Service, agent.Incarnation, uint64(number))
 
@@ -70,21 +70,21 @@
 	},
 }
 
-// world is a view and the balancer with it in force.
-type world struct {
-	whole  *view.View
-	engine *forward.Balancer
+// forwardingSetup is a view and a balancer that has applied it.
+type forwardingSetup struct {
+	full     *view.View
+	balancer *forward.Balancer
 }
 
-// fabric returns a view of the target size, whose agents all have the address
-// of one socket that is not read. It is built once, because that takes longer
-// than a measurement.
-var fabric = sync.OnceValues(func() (world, error) {
-	contents := contentsOf(targetAgents)
+// sharedSetup returns a setup of the target size. All agents have the address of
+// one socket, which nothing reads. It is built only once, because building takes
+// longer than a measurement.
+var sharedSetup = sync.OnceValues(func() (forwardingSetup, error) {
+	contents := makeContents(targetAgents)
 
 	sink, err := udp.Listen(loopback, udp.Options{})
 	if err != nil {
-		return world{}, err
+		return forwardingSetup{}, err
 	}
 
 	for i := range contents.Agents {
@@ -95,38 +95,40 @@
 		contents.Services[i].Limits = view.Limits{FirstPackets: 1 << 30, FirstPacketsPerSource: 1 << 29}
 	}
 
-	whole := view.New(contents)
+	full := view.New(contents)
 
-	return world{whole: whole, engine: engineOf(whole)}, nil
+	return forwardingSetup{full: full, balancer: newBalancer(full)}, nil
 })
 
-// firstPacket returns a packet that opens a flow.
-func firstPacket(number int) (view.ServiceID, []byte) {
-	packet := make([]byte, payloadLength)
+// makeFirstPacket returns a packet that opens a flow.
+func makeFirstPacket(number int) (view.ServiceID, []byte) {
+	packet := make([]byte, payloadBytes)
 	copy(packet, []byte{0xc0, 0, 0, 0, 1, 8, byte(number), byte(number >> 8), byte(number >> 16)})
 
 	return view.ServiceID(number%targetServices + 1), packet
 }
 
-// distinctPackets is the number of packets that are sent in turn.
+// distinctPackets is the number of different packets, which are sent in rotation.
 const distinctPackets = 4096
 
-// forwarder receives and forwards datagrams and measures its own thread.
+// forwarder forwards the datagrams that it receives and measures the processor
+// time of its thread.
 type forwarder struct {
-	worker   *forward.Worker
-	outbox   *udp.Outbox
-	out      *udp.Socket
-	services []view.ServiceID
-	began    float64
-	ended    float64
-	handled  atomic.Int64
-	sent     int
+	worker          *forward.Worker
+	outbox          *udp.Outbox
+	outSocket       *udp.Socket
+	services        []view.ServiceID
+	startThreadTime float64
+	endThreadTime   float64
+	handled         atomic.Int64
+	sent            int
 }
 
 func (f *forwarder) handle(batch *udp.Batch) {
-	if f.began == 0 {
-		// The thread is locked in forwarded. The first batch is left out.
-		f.began = threadTime()
+	if f.startThreadTime == 0 {
+		// Receiving the first batch is not measured. measureForwarding locks the
+		// goroutine to its thread.
+		f.startThreadTime = threadTime()
 	}
 
 	now := time.Now()
@@ -139,20 +141,23 @@
 		if decision.Action == forward.Send {
 			framed := batch.Framed(i)
 			f.worker.Seal(framed, &decision.Header)
-			f.outbox.Add(f.out, framed, decision.To)
+			f.outbox.Add(f.outSocket, framed, decision.To)
 			f.sent++
 		}
 	}
 
 	f.outbox.Flush()
-	f.ended = threadTime()
+	f.endThreadTime = threadTime()
 	f.handled.Add(int64(batch.Len()))
 }
 
-// forwarded returns the processor time of a balancer's thread for the
-// datagrams. The sender waits for each batch, so that none is lost.
-func forwarded(engine *forward.Balancer, count int, packet func(int) (view.ServiceID, []byte)) (float64, error) {
-	f := &forwarder{worker: engine.Worker(), outbox: udp.NewOutbox(batchSize)}
+// measureForwarding returns the processor time of a balancer's thread for
+// forwarding count datagrams. The sender waits until each batch has been handled,
+// so that no datagram is lost.
+func measureForwarding(
+	balancer *forward.Balancer, count int, packet func(int) (view.ServiceID, []byte),
+) (float64, error) {
+	f := &forwarder{worker: balancer.Worker(), outbox: udp.NewOutbox(batchSize)}
 	packets := make([][]byte, distinctPackets)
 
 	for i := range packets {
@@ -172,44 +177,44 @@
 		defer closeAll(opened[0])
 	}
 
-	in, feed := sockets[0], sockets[1]
-	f.out = sockets[2]
+	receiver, sender := sockets[0], sockets[1]
+	f.outSocket = sockets[2]
 
 	var (
-		group  conc.WaitGroup
-		served error
+		group    conc.WaitGroup
+		serveErr error
 	)
 
 	group.Go(func() {
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 
-		pool := udp.NewPool(1, udp.BatchConfig{Size: batchSize, Length: maxDatagram, Headroom: datagram.HeaderLength})
-		served = in.Serve(pool, f.handle)
+		pool := udp.NewPool(1, udp.BatchConfig{Size: batchSize, Length: maxDatagramBytes, Headroom: datagram.HeaderLength})
+		serveErr = receiver.Serve(pool, f.handle)
 	})
 
-	f.send(feed, in.Address(), packets, count)
-	stopped := in.Stop()
+	f.send(sender, receiver.Address(), packets, count)
+	stopErr := receiver.Stop()
 	group.Wait()
 
-	if err := firstError(served, stopped); err != nil {
+	if err := firstError(serveErr, stopErr); err != nil {
 		return 0, err
 	}
 
-	// Dropping is cheaper than forwarding, so a drop would spoil the figure.
+	// Dropping is cheaper than forwarding, so drops would make the figure too low.
 	if f.sent != count {
 		return 0, fmt.Errorf("%d of %d datagrams were forwarded", f.sent, count)
 	}
 
-	return f.ended - f.began, nil
+	return f.endThreadTime - f.startThreadTime, nil
 }
 
-func (f *forwarder) send(feed *udp.Socket, to netip.AddrPort, packets [][]byte, count int) {
+func (f *forwarder) send(sender *udp.Socket, to netip.AddrPort, packets [][]byte, count int) {
 	outbox := udp.NewOutbox(batchSize)
 
 	for sent := 0; sent < count; {
 		for range batchSize {
-			outbox.Add(feed, packets[sent%len(packets)], to)
+			outbox.Add(sender, packets[sent%len(packets)], to)
 			sent++
 		}
 
@@ -221,44 +226,44 @@
 	}
 }
 
-// serviceSockets measures what each service address costs a balancer with one
-// worker: a socket, its goroutine and its outbox.
+// serviceSockets measures the memory of each service address at a balancer with
+// one worker: a socket, its goroutine and its outbox.
 var serviceSockets = probe{
 	name: "service sockets", per: "service address", sizes: []int{50, 100, 200, 400},
 	labels: []label{{SocketMemory, "live memory of the sockets of services", unitBytes}},
 	run: func(_ context.Context, size int) ([]float64, error) {
 		var (
-			group conc.WaitGroup
-			open  []*udp.Socket
-			err   error
+			group       conc.WaitGroup
+			openSockets []*udp.Socket
+			err         error
 		)
 
-		pool := udp.NewPool(8, udp.BatchConfig{Size: batchSize, Length: maxDatagram, Headroom: datagram.HeaderLength})
-		engine := engineOf(view.New(contentsOf(100)))
-		memory := memoryOf(func() []*udp.Socket {
+		pool := udp.NewPool(8, udp.BatchConfig{Size: batchSize, Length: maxDatagramBytes, Headroom: datagram.HeaderLength})
+		balancer := newBalancer(view.New(makeContents(100)))
+		memory := retainedMemory(func() []*udp.Socket {
 			for range size {
-				sockets, failure := udp.Listen(loopback, udp.Options{ReceiveBuffer: 4 << 20})
-				if failure != nil {
-					err = failure
+				sockets, listenErr := udp.Listen(loopback, udp.Options{ReceiveBuffer: 4 << 20})
+				if listenErr != nil {
+					err = listenErr
 
 					break
 				}
 
-				open = append(open, sockets...)
-				f := &forwarder{worker: engine.Worker(), outbox: udp.NewOutbox(batchSize), out: sockets[0]}
+				openSockets = append(openSockets, sockets...)
+				f := &forwarder{worker: balancer.Worker(), outbox: udp.NewOutbox(batchSize), outSocket: sockets[0]}
 				group.Go(func() { _ = sockets[0].Serve(pool, f.handle) }) // ends with the socket
 			}
 
-			return open
+			return openSockets
 		})
 
-		for _, socket := range open {
+		for _, socket := range openSockets {
 			err = firstError(err, socket.Stop())
 		}
 
 		group.Wait()
 
-		for _, socket := range open {
+		for _, socket := range openSockets {
 			err = firstError(err, socket.Close())
 		}
 
--- a/internal/testing/capacity/proxy.go
+++ b/internal/testing/capacity/proxy.go
@@ -9,88 +9,88 @@
 	"github.com/sourcegraph/conc"
 )
 
-// headerBytes are the IPv4 and UDP headers of a datagram.
+// headerBytes is the size of the IPv4 and UDP headers of a datagram.
 const headerBytes = 28
 
-// proxy passes datagrams between clients and a server and counts their bytes.
+// proxy forwards datagrams between clients and a server and counts their bytes.
 type proxy struct {
-	front  *net.UDPConn
-	server netip.AddrPort
-	bytes  atomic.Int64
+	listener *net.UDPConn
+	server   netip.AddrPort
+	bytes    atomic.Int64
 }
 
 func newProxy(server netip.AddrPort) (*proxy, error) {
-	front, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(loopback))
+	listener, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(loopback))
 	if err != nil {
 		return nil, err
 	}
 
-	return &proxy{front: front, server: server}, nil
+	return &proxy{listener: listener, server: server}, nil
 }
 
 func (p *proxy) address() netip.AddrPort {
-	return p.front.LocalAddr().(*net.UDPAddr).AddrPort()
+	return p.listener.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// total returns the bytes so far, in both directions.
-func (p *proxy) total() float64 { return float64(p.bytes.Load()) }
+// totalBytes returns the number of bytes in both directions so far.
+func (p *proxy) totalBytes() float64 { return float64(p.bytes.Load()) }
 
-// run passes datagrams until the context ends.
+// run forwards the clients' datagrams until the context ends.
 func (p *proxy) run(ctx context.Context) {
-	backs := make(map[netip.AddrPort]*net.UDPConn)
+	serverConns := make(map[netip.AddrPort]*net.UDPConn)
 
 	var group conc.WaitGroup
 	defer group.Wait()
 
-	stop := context.AfterFunc(ctx, func() { closeAll(p.front) })
+	stop := context.AfterFunc(ctx, func() { closeAll(p.listener) })
 	defer stop()
 
 	defer func() {
-		for _, back := range backs {
-			closeAll(back)
+		for _, serverConn := range serverConns {
+			closeAll(serverConn)
 		}
 	}()
 
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 
 	for {
-		length, client, err := p.front.ReadFromUDPAddrPort(buffer)
+		length, client, err := p.listener.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
 
-		back, ok := backs[client]
+		serverConn, ok := serverConns[client]
 		if !ok {
-			if back, err = net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(p.server)); err != nil {
+			if serverConn, err = net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(p.server)); err != nil {
 				return
 			}
 
-			backs[client] = back
+			serverConns[client] = serverConn
 
-			group.Go(func() { p.answer(back, client) })
+			group.Go(func() { p.forwardReplies(serverConn, client) })
 		}
 
 		p.bytes.Add(int64(length + headerBytes))
 
-		if _, err := back.Write(buffer[:length]); err != nil {
-			continue // as a lost datagram
+		if _, err := serverConn.Write(buffer[:length]); err != nil {
+			continue // the datagram is lost, as on a network
 		}
 	}
 }
 
-// answer passes the server's datagrams to one client.
-func (p *proxy) answer(back *net.UDPConn, client netip.AddrPort) {
-	buffer := make([]byte, maxDatagram)
+// forwardReplies forwards the server's datagrams to one client.
+func (p *proxy) forwardReplies(serverConn *net.UDPConn, client netip.AddrPort) {
+	buffer := make([]byte, maxDatagramBytes)
 
 	for {
-		length, err := back.Read(buffer)
+		length, err := serverConn.Read(buffer)
 		if err != nil {
 			return
 		}
 
 		p.bytes.Add(int64(length + headerBytes))
 
-		if _, err := p.front.WriteToUDPAddrPort(buffer[:length], client); err != nil {
+		if _, err := p.listener.WriteToUDPAddrPort(buffer[:length], client); err != nil {
 			return
 		}
 	}
--- a/internal/testing/capacity/report.go
+++ b/internal/testing/capacity/report.go
@@ -34,30 +34,30 @@
 	return nil
 }
 
-// WriteTables writes the report as Markdown tables, as docs/CAPACITY.md has
-// them: the summary, the rows of each role and the measured figures.
+// WriteTables writes the Markdown tables of docs/CAPACITY.md: the summary, the
+// rows of each role and the measured figures.
 func (r *Report) WriteTables(to io.Writer) error {
 	var text strings.Builder
 
 	fmt.Fprintf(&text, "Run of %.0f s, %d repetitions, %d cores, %s, peak resident memory %s.\n",
-		r.Duration, r.Repetitions, r.Cores, r.Go, quantity(r.PeakMemory, unitBytes))
+		r.Duration, r.Repetitions, r.Cores, r.Go, formatQuantity(r.PeakMemory, unitBytes))
 
 	if r.Quick {
 		text.WriteString("\nQuick run: small sizes, no basis for planning.\n")
 	}
 
 	text.WriteString("\n## Summary\n\n")
-	writeTable(&text, []string{"role", "resource", "at target size", "limit", "verdict"}, r.summary())
+	writeTable(&text, []string{"role", "resource", "at target size", "limit", "verdict"}, r.summaryLines())
 
 	for _, role := range []Role{RoleBalancer, RoleAgent, RoleController, RoleRelay, RoleOperator, RoleFleet} {
 		fmt.Fprintf(&text, "\n## %s\n\n", strings.ToUpper(string(role[:1]))+string(role[1:]))
 		writeTable(&text,
 			[]string{"resource", "value (lowest to highest)", "limit", "verdict", "source", "formula", "mechanism"},
-			r.rowsOf(role))
+			r.roleLines(role))
 	}
 
 	text.WriteString("\n## Measured figures\n\n")
-	writeTable(&text, []string{"figure", "slope (lowest to highest)", "intercept", "fit", "sizes"}, r.measured())
+	writeTable(&text, []string{"figure", "slope (lowest to highest)", "intercept", "fit", "sizes"}, r.figureLines())
 
 	if _, err := io.WriteString(to, text.String()); err != nil {
 		return newError("write", KindReport, err)
@@ -66,13 +66,13 @@
 	return nil
 }
 
-func (r *Report) summary() [][]string {
+func (r *Report) summaryLines() [][]string {
 	var lines [][]string
 
 	for _, row := range r.Rows {
 		if row.Summary {
 			lines = append(lines, []string{
-				string(row.Role), row.Resource, quantity(row.Value.Median, row.Unit), limitOf(row), string(row.Verdict),
+				string(row.Role), row.Resource, formatQuantity(row.Value.Median, row.Unit), formatLimit(row), string(row.Verdict),
 			})
 		}
 	}
@@ -80,14 +80,14 @@
 	return lines
 }
 
-func (r *Report) rowsOf(role Role) [][]string {
+func (r *Report) roleLines(role Role) [][]string {
 	var lines [][]string
 
 	for _, row := range r.Rows {
 		if row.Role == role {
 			lines = append(lines, []string{
-				row.Resource, spread(row.Value, row.Unit), limitOf(row), string(row.Verdict), string(row.Source), row.Formula,
-				row.Mechanism,
+				row.Resource, formatSpread(row.Value, row.Unit), formatLimit(row), string(row.Verdict), string(row.Source),
+				row.Formula, row.Mechanism,
 			})
 		}
 	}
@@ -95,14 +95,14 @@
 	return lines
 }
 
-func (r *Report) measured() [][]string {
+func (r *Report) figureLines() [][]string {
 	var lines [][]string
 
 	for _, figure := range r.Figures {
 		lines = append(lines, []string{
 			figure.Name,
-			spread(figure.Slope, figure.Unit) + " per " + figure.Per,
-			quantity(figure.Intercept.Median, figure.Unit),
+			formatSpread(figure.Slope, figure.Unit) + " per " + figure.Per,
+			formatQuantity(figure.Intercept.Median, figure.Unit),
 			fmt.Sprintf("%.3f", figure.Fit),
 			strings.Trim(strings.ReplaceAll(fmt.Sprint(figure.Sizes), " ", ", "), "[]"),
 		})
@@ -119,58 +119,58 @@
 	}
 }
 
-func limitOf(row Row) string {
+func formatLimit(row Row) string {
 	if row.Limit == 0 {
 		return "-"
 	}
 
-	return quantity(row.Limit, row.Unit)
+	return formatQuantity(row.Limit, row.Unit)
 }
 
-func spread(value measure.Summary, unit string) string {
+func formatSpread(value measure.Summary, unit string) string {
 	return fmt.Sprintf("%s (%s to %s)",
-		quantity(value.Median, unit), quantity(value.Lowest, unit), quantity(value.Highest, unit))
+		formatQuantity(value.Median, unit), formatQuantity(value.Lowest, unit), formatQuantity(value.Highest, unit))
 }
 
-// The units of values. Others are printed as they are.
+// The units that are formatted specially. Other units are printed unchanged.
 const (
 	unitSeconds = "s"
 	unitBytes   = "B"
 	unitRate    = "B/s"
-	unitCore    = "core" // seconds of processor time a second
+	unitCore    = "core" // seconds of processor time per second
 )
 
-// scale is a unit and its size in the base unit, largest first.
+// scale is a unit and its size in the base unit.
 type scale struct {
 	name string
 	size float64
 }
 
-// scales lists the units that values are printed in.
+// scales lists the units that values are printed in, largest first.
 var scales = map[string][]scale{
 	unitSeconds: {{"s", 1}, {"ms", 1e-3}, {"µs", 1e-6}, {"ns", 1e-9}},
 	unitBytes:   {{"GB", 1e9}, {"MB", 1e6}, {"KB", 1e3}, {"B", 1}},
 	unitRate:    {{"GB/s", 1e9}, {"MB/s", 1e6}, {"KB/s", 1e3}, {"B/s", 1}},
 }
 
-// quantity formats a value with three significant digits.
-func quantity(value float64, unit string) string {
+// formatQuantity formats a value with its unit and three significant digits.
+func formatQuantity(value float64, unit string) string {
 	if unit == unitCore {
-		return digits(value*100) + "% of a core"
+		return formatDigits(value*100) + "% of a core"
 	}
 
 	list := scales[unit]
 	for i, scale := range list {
 		if math.Abs(value) >= scale.size || i == len(list)-1 {
-			return digits(value/scale.size) + " " + scale.name
+			return formatDigits(value/scale.size) + " " + scale.name
 		}
 	}
 
-	return strings.TrimSpace(digits(value) + " " + unit)
+	return strings.TrimSpace(formatDigits(value) + " " + unit)
 }
 
-// digits prints three significant digits without an exponent.
-func digits(value float64) string {
+// formatDigits formats a value with three significant digits and no exponent.
+func formatDigits(value float64) string {
 	if value == 0 || math.IsNaN(value) || math.IsInf(value, 0) {
 		return fmt.Sprintf("%g", value)
 	}
--- a/internal/testing/capacity/row.go
+++ b/internal/testing/capacity/row.go
@@ -7,7 +7,7 @@
 	"jayspindle/internal/testing/measure"
 )
 
-// Role is who bears a cost.
+// Role is the part of the system, or the person, that bears a cost.
 type Role string
 
 // The roles.
@@ -20,21 +20,21 @@
 	RoleFleet      Role = "whole fleet"
 )
 
-// Source states how a value came about.
+// Source states how a value was obtained.
 type Source string
 
-// The sources, from the firmest to the weakest.
+// The sources, from the most to the least reliable.
 const (
-	Measured  Source = "measured"   // at sizes up to the target size, read off the line
-	WorkedOut Source = "worked out" // from measured slopes or figures at the target size, and stated numbers
-	Assumed   Source = "assumed"    // it rests on an assumption, which the formula names
+	Measured  Source = "measured"   // at sizes up to the target size, taken from the fitted line
+	WorkedOut Source = "worked out" // calculated from measured figures and the numbers in the formula
+	Assumed   Source = "assumed"    // depends on an assumption that the formula names
 )
 
 // Verdict compares a value with its limit.
 type Verdict string
 
-// The verdicts. Within the spread means that the limit lies between the lowest
-// and the highest repetition.
+// The verdicts. WithinSpread means that the limit lies between the values of
+// the lowest and the highest repetition.
 const (
 	Fits         Verdict = "fits"
 	DoesNotFit   Verdict = "does not fit"
@@ -52,30 +52,30 @@
 	Verdict   Verdict         `json:"verdict,omitempty"`
 	Source    Source          `json:"source"`
 	Formula   string          `json:"formula"`
-	Mechanism string          `json:"mechanism,omitempty"` // that carries it, or would carry it
-	Summary   bool            `json:"summary"`             // belongs into the summary table
+	Mechanism string          `json:"mechanism,omitempty"` // that meets the limit, or would meet it
+	Summary   bool            `json:"summary"`             // listed in the summary table
 }
 
-// formula works a row out.
+// formula is a row and the function that calculates its value.
 type formula struct {
 	Row
 
 	value func(r repetition) float64
 }
 
-// repetition reads the figures of one repetition.
+// repetition gives access to the fitted lines of one repetition.
 type repetition struct {
 	figures map[ID]*Figure
 	number  int
 }
 
-// at returns the value of a figure's line at a size.
-func (r repetition) at(id ID, size float64) float64 { return r.line(id).At(size) }
+// valueAt returns the value of a figure's line at a size.
+func (r repetition) valueAt(id ID, size float64) float64 { return r.lineOf(id).At(size) }
 
 // slope returns the slope of a figure's line.
-func (r repetition) slope(id ID) float64 { return r.line(id).Slope }
+func (r repetition) slope(id ID) float64 { return r.lineOf(id).Slope }
 
-func (r repetition) line(id ID) Line {
+func (r repetition) lineOf(id ID) Line {
 	figure, ok := r.figures[id]
 	if !ok {
 		panic(fmt.Sprintf("capacity: no probe measures %q", id)) // a formula names a figure that does not exist
@@ -84,7 +84,7 @@
 	return figure.Lines[r.number]
 }
 
-// derive works out all rows.
+// derive calculates all rows.
 func (r *Report) derive() {
 	figures := make(map[ID]*Figure, len(r.Figures))
 	for _, figure := range r.Figures {
@@ -100,15 +100,15 @@
 
 			row := formula.Row
 			row.Value = measure.Summarize(values)
-			row.Verdict = judge(row.Value, row.Limit)
+			row.Verdict = compareToLimit(row.Value, row.Limit)
 			r.Rows = append(r.Rows, row)
 		}
 	}
 }
 
-// judge compares a value with an upper limit. Without a limit there is no
-// verdict.
-func judge(value measure.Summary, limit float64) Verdict {
+// compareToLimit compares a value with an upper limit. A limit of 0 means that
+// there is none.
+func compareToLimit(value measure.Summary, limit float64) Verdict {
 	switch {
 	case limit == 0:
 		return NoLimit
--- a/internal/testing/capacity/rows.go
+++ b/internal/testing/capacity/rows.go
@@ -6,50 +6,54 @@
 	"jayspindle/internal/state/document"
 )
 
-// Numbers that several formulas use.
+// Quantities that several formulas use.
 const (
-	changesPerSecond = viewChangesDay / day // of one environment's view
-	servicesChanged  = changesADay / day
+	changesPerSecond        = viewChangesPerDay / secondsPerDay // changes of one environment's view
+	serviceChangesPerSecond = changesPerDay / secondsPerDay
 
-	relayed          = float64(targetAgents) / targetBalancers // agents of one relay
-	flowsOfAgent     = openFlows / targetAgents
-	newFlowsOfAgent  = newFlows / targetAgents
+	agentsPerRelay   = float64(targetAgents) / targetBalancers
+	flowsPerAgent    = openFlows / targetAgents
+	newFlowsPerAgent = newFlowsPerSecond / targetAgents // per second
 	voters           = 5
-	ringChanges      = 256 // deltas that a publisher keeps
-	keptVersions     = 256
-	balancerLinks    = 3 // calls, views, and the calls that it passes on as a relay
-	balancerAsMember = float64(balancerLinks) / linksOfInstance
+	maxKeptDeltas    = 256 // of a publisher
+	maxKeptVersions  = 256
+	balancerLinks    = 3 // calls, views, and the calls that a relay passes on
+	// balancerLinkRatio is a balancer's own links relative to those of an instance.
+	balancerLinkRatio = float64(balancerLinks) / linksPerInstance
 )
 
 var (
-	coalesced  = rollout.CoalesceInterval.Seconds()
-	burstViews = 1 / coalesced // most views a second
+	coalesceSeconds   = rollout.CoalesceInterval.Seconds()
+	maxViewsPerSecond = 1 / coalesceSeconds // one view in each coalescing interval
 )
 
-// deltaTraffic returns the bytes a second of the deltas of one subscriber.
-func deltaTraffic(r repetition) float64 {
-	service := r.slope(ServiceBytes)
+// deltaBytesPerSecond returns the rate of deltas to one subscriber.
+func deltaBytesPerSecond(r repetition) float64 {
+	bytesPerService := r.slope(ServiceBytes)
 
-	return changesPerSecond*r.slope(TrafficChange) + servicesChanged*service
+	return changesPerSecond*r.slope(TrafficChange) + serviceChangesPerSecond*bytesPerService
 }
 
-// instanceTraffic returns the control bytes a second of an instance that
-// relays nothing.
-func instanceTraffic(r repetition) float64 { return r.slope(TrafficIdle) + deltaTraffic(r) }
+// instanceBytesPerSecond returns the rate of control traffic of an instance
+// that is not a relay.
+func instanceBytesPerSecond(r repetition) float64 {
+	return r.slope(TrafficIdle) + deltaBytesPerSecond(r)
+}
 
-// instanceTime returns the processor time a second that the links of an
-// instance take at both ends.
-func instanceTime(r repetition) float64 {
+// instanceLinkTime returns the processor time per second for the links of one
+// instance, both ends.
+func instanceLinkTime(r repetition) float64 {
 	return r.slope(LinkIdle) + changesPerSecond*r.slope(LinkChange)
 }
 
-// viewBytes returns the size of the full view.
-func viewBytes(r repetition) float64 { return r.at(ViewBytes, targetAgents) }
+// fullViewBytes returns the size of the encoded view at the target size.
+func fullViewBytes(r repetition) float64 { return r.valueAt(ViewBytes, targetAgents) }
 
-// balancerApply returns the processor time for one change of the view at a
-// balancer: apply, table, and the delta for its own subscribers.
-func balancerApply(r repetition) float64 {
-	return r.at(EngineApply, targetServices) + r.at(PublishApply, relayed)
+// balancerApplyTime returns the processor time of a balancer for one change of
+// the view: it applies the delta, updates the table and publishes a delta to its
+// subscribers.
+func balancerApplyTime(r repetition) float64 {
+	return r.valueAt(EngineApply, targetServices) + r.valueAt(PublishApply, agentsPerRelay)
 }
 
 var agentRows = []formula{
@@ -58,13 +62,13 @@
 			Role:     RoleAgent,
 			Resource: "memory for control, without records",
 			Unit:     unitBytes,
-			Limit:    limitMemory,
+			Limit:    maxControlMemoryBytes,
 			Source:   WorkedOut,
 			Summary:  true,
 			Formula:  "2 × (view + links of an instance, both ends)", Mechanism: "views share unchanged items",
 		},
 		value: func(r repetition) float64 {
-			return heapGrowth * (r.at(ViewMemory, targetAgents) + r.slope(LinkMemory))
+			return heapGrowthFactor * (r.valueAt(ViewMemory, targetAgents) + r.slope(LinkMemory))
 		},
 	},
 	{
@@ -72,13 +76,14 @@
 			Role:     RoleAgent,
 			Resource: "memory with 60,000 records of 200 B",
 			Unit:     unitBytes,
-			Limit:    limitMemory,
+			Limit:    maxControlMemoryBytes,
 			Source:   WorkedOut,
 			Summary:  true,
 			Formula:  "memory without records + 2 × 60,000 × record",
 		},
 		value: func(r repetition) float64 {
-			return heapGrowth * (r.at(ViewMemory, targetAgents) + r.slope(LinkMemory) + r.at(ClaimMemory, claimRecords))
+			return heapGrowthFactor * (r.valueAt(ViewMemory, targetAgents) + r.slope(LinkMemory) +
+				r.valueAt(ClaimMemory, maxClaimRecords))
 		},
 	},
 	{
@@ -86,15 +91,15 @@
 			Role:      RoleAgent,
 			Resource:  "memory with 60,000 records of 4 KiB",
 			Unit:      unitBytes,
-			Limit:     limitMemory,
+			Limit:     maxControlMemoryBytes,
 			Source:    WorkedOut,
 			Summary:   true,
 			Formula:   "memory with records of 200 B + 2 × 60,000 × 3,896 B",
 			Mechanism: "a bound of the store in bytes instead of records",
 		},
 		value: func(r repetition) float64 {
-			return heapGrowth * (r.at(ViewMemory, targetAgents) + r.slope(LinkMemory) +
-				r.at(ClaimMemory, claimRecords) + claimRecords*(claim.MaxAnswer-answerBytes))
+			return heapGrowthFactor * (r.valueAt(ViewMemory, targetAgents) + r.slope(LinkMemory) +
+				r.valueAt(ClaimMemory, maxClaimRecords) + maxClaimRecords*(claim.MaxAnswer-answerBytes))
 		},
 	},
 	{
@@ -102,13 +107,13 @@
 			Role:     RoleAgent,
 			Resource: "processor for control, average",
 			Unit:     unitCore,
-			Limit:    limitCore,
+			Limit:    maxControlCore,
 			Source:   WorkedOut,
 			Summary:  true,
 			Formula:  "0.352/s × apply + links of an instance, both ends",
 		},
 		value: func(r repetition) float64 {
-			return changesPerSecond*r.at(AgentApply, targetServices) + instanceTime(r)
+			return changesPerSecond*r.valueAt(AgentApply, targetServices) + instanceLinkTime(r)
 		},
 	},
 	{
@@ -116,13 +121,13 @@
 			Role:     RoleAgent,
 			Resource: "processor for control, burst of changes",
 			Unit:     unitCore,
-			Limit:    limitCore,
+			Limit:    maxControlCore,
 			Source:   WorkedOut,
 			Summary:  true,
 			Formula:  "5 views/s × (apply + change on a link) + idle links",
 		},
 		value: func(r repetition) float64 {
-			return burstViews*(r.at(AgentApply, targetServices)+r.slope(LinkChange)) + r.slope(LinkIdle)
+			return maxViewsPerSecond*(r.valueAt(AgentApply, targetServices)+r.slope(LinkChange)) + r.slope(LinkIdle)
 		},
 	},
 	{
@@ -130,12 +135,12 @@
 			Role:     RoleAgent,
 			Resource: "bytes for control, average",
 			Unit:     unitRate,
-			Limit:    limitBytes,
+			Limit:    maxControlBytesPerSecond,
 			Source:   WorkedOut,
 			Summary:  true,
 			Formula:  "idle links + 0.352/s × change on a link + 0.150/s × changed service",
 		},
-		value: instanceTraffic,
+		value: instanceBytesPerSecond,
 	},
 	{
 		Row: Row{
@@ -145,31 +150,31 @@
 			Source:   Measured,
 			Formula:  "encoded view at 26,000 agents",
 		},
-		value: viewBytes,
+		value: fullViewBytes,
 	},
 	{
 		Row: Row{
 			Role:      RoleAgent,
 			Resource:  "time for a full view at 4 KB/s",
 			Unit:      unitSeconds,
-			Limit:     limitChange,
+			Limit:     maxChangeSeconds,
 			Source:    WorkedOut,
 			Summary:   true,
 			Formula:   "full view / 4,000 B/s; nothing paces it: it takes the line rate for a moment instead",
 			Mechanism: "a partial view for agents (own service, balancers, keys), or compression",
 		},
-		value: func(r repetition) float64 { return viewBytes(r) / limitBytes },
+		value: func(r repetition) float64 { return fullViewBytes(r) / maxControlBytesPerSecond },
 	},
 	{
 		Row: Row{
 			Role:     RoleAgent,
 			Resource: "time for a compressed full view at 4 KB/s",
 			Unit:     unitSeconds,
-			Limit:    limitChange,
+			Limit:    maxChangeSeconds,
 			Source:   WorkedOut,
 			Formula:  "view after gzip / 4,000 B/s",
 		},
-		value: func(r repetition) float64 { return r.at(ViewCompressed, targetAgents) / limitBytes },
+		value: func(r repetition) float64 { return r.valueAt(ViewCompressed, targetAgents) / maxControlBytesPerSecond },
 	},
 	{
 		Row: Row{
@@ -180,7 +185,7 @@
 			Formula:  "decode and digest at 26,000",
 		},
 		value: func(r repetition) float64 {
-			return r.at(ViewDecode, targetAgents)
+			return r.valueAt(ViewDecode, targetAgents)
 		},
 	},
 	{
@@ -192,7 +197,7 @@
 			Source:   WorkedOut,
 			Formula:  "46 million / 26,000; limit: connections of a service in the documents today",
 		},
-		value: func(repetition) float64 { return flowsOfAgent },
+		value: func(repetition) float64 { return flowsPerAgent },
 	},
 	{
 		Row: Row{
@@ -204,7 +209,7 @@
 			Formula:   "2 × 1,769 × connection at the agent (data path)",
 			Mechanism: "not part of control; size the instance for it",
 		},
-		value: func(r repetition) float64 { return heapGrowth * r.at(CallerMemory, flowsOfAgent) },
+		value: func(r repetition) float64 { return heapGrowthFactor * r.valueAt(CallerMemory, flowsPerAgent) },
 	},
 	{
 		Row: Row{
@@ -215,7 +220,7 @@
 			Summary:  true,
 			Formula:  "220,000 / 26,000 handshakes/s × handshake, both ends (data path)",
 		},
-		value: func(r repetition) float64 { return newFlowsOfAgent * r.slope(CallerHandshake) },
+		value: func(r repetition) float64 { return newFlowsPerAgent * r.slope(CallerHandshake) },
 	},
 	{
 		Row: Row{
@@ -225,7 +230,7 @@
 			Source:   Assumed,
 			Formula:  "1,769 / 5 s × request, both ends: a keep-alive costs less than a request (assumed)",
 		},
-		value: func(r repetition) float64 { return flowsOfAgent / callerKeepAlive * r.slope(CallerRequest) },
+		value: func(r repetition) float64 { return flowsPerAgent / callerKeepAliveSeconds * r.slope(CallerRequest) },
 	},
 	{
 		Row: Row{
@@ -236,7 +241,7 @@
 			Formula:  "1,769 handshakes of the lost agent / 2.9 siblings × handshake, both ends: processor time of each",
 		},
 		value: func(r repetition) float64 {
-			return flowsOfAgent / (float64(targetAgents)/targetServices - 1) * r.slope(CallerHandshake)
+			return flowsPerAgent / (float64(targetAgents)/targetServices - 1) * r.slope(CallerHandshake)
 		},
 	},
 }
@@ -253,7 +258,7 @@
 			Formula:   "document of 6,700 services with 4 classes each",
 			Mechanism: "YAML anchors, as below; a document in parts would carry it",
 		},
-		value: func(r repetition) float64 { return r.at(DocumentBytes, targetServices) },
+		value: func(r repetition) float64 { return r.valueAt(DocumentBytes, targetServices) },
 	},
 	{
 		Row: Row{
@@ -265,7 +270,7 @@
 			Summary:  true,
 			Formula:  "document of 6,700 services with one list of classes and no limits",
 		},
-		value: func(r repetition) float64 { return r.at(DocumentCompact, targetServices) },
+		value: func(r repetition) float64 { return r.valueAt(DocumentCompact, targetServices) },
 	},
 	{
 		Row: Row{
@@ -275,7 +280,7 @@
 			Source:   Measured,
 			Formula:  "parse at 6,700 services",
 		},
-		value: func(r repetition) float64 { return r.at(DocumentParse, targetServices) },
+		value: func(r repetition) float64 { return r.valueAt(DocumentParse, targetServices) },
 	},
 	{
 		Row: Row{
@@ -286,7 +291,7 @@
 			Summary:  true,
 			Formula:  "86,400 s / 13,000: one change of an environment is pending at a time",
 		},
-		value: func(repetition) float64 { return day / changesADay },
+		value: func(repetition) float64 { return secondsPerDay / changesPerDay },
 	},
 	{
 		Row: Row{
@@ -296,6 +301,6 @@
 			Source:   Measured,
 			Formula:  "the whole document and two signatures; trial only, production gets a digest",
 		},
-		value: func(r repetition) float64 { return r.at(DocumentEntries, targetServices) },
+		value: func(r repetition) float64 { return r.valueAt(DocumentEntries, targetServices) },
 	},
 }
--- a/internal/testing/capacity/rows_entry.go
+++ b/internal/testing/capacity/rows_balancer.go
@@ -10,7 +10,7 @@
 			Role:     RoleBalancer,
 			Resource: "memory for control",
 			Unit:     unitBytes,
-			Limit:    limitMemory,
+			Limit:    maxControlMemoryBytes,
 			Source:   WorkedOut,
 			Summary:  true,
 			Formula: "2 × (view + table, keys and limits + 12.3 × links of an instance, both ends); " +
@@ -18,8 +18,8 @@
 			Mechanism: "the table is bucket arrays of 2 bytes; views share unchanged items",
 		},
 		value: func(r repetition) float64 {
-			return heapGrowth * (r.at(ViewMemory, targetAgents) + r.at(EngineMemory, targetServices) +
-				(relayed+balancerAsMember)*r.slope(LinkMemory))
+			return heapGrowthFactor * (r.valueAt(ViewMemory, targetAgents) + r.valueAt(EngineMemory, targetServices) +
+				(agentsPerRelay+balancerLinkRatio)*r.slope(LinkMemory))
 		},
 	},
 	{
@@ -32,20 +32,20 @@
 			Formula:   "2 × 6,700 × live memory of a service socket, one worker; without buffers of the kernel",
 			Mechanism: "one outbox for each worker instead of each socket would carry it",
 		},
-		value: func(r repetition) float64 { return heapGrowth * r.at(SocketMemory, targetServices) },
+		value: func(r repetition) float64 { return heapGrowthFactor * r.valueAt(SocketMemory, targetServices) },
 	},
 	{
 		Row: Row{
 			Role:     RoleBalancer,
 			Resource: "processor for control, average",
 			Unit:     unitCore,
-			Limit:    limitCore,
+			Limit:    maxControlCore,
 			Source:   WorkedOut,
 			Summary:  true,
 			Formula:  "0.352/s × (apply + publish) + 12.3 × links of an instance, both ends",
 		},
 		value: func(r repetition) float64 {
-			return changesPerSecond*balancerApply(r) + (relayed+balancerAsMember)*instanceTime(r)
+			return changesPerSecond*balancerApplyTime(r) + (agentsPerRelay+balancerLinkRatio)*instanceLinkTime(r)
 		},
 	},
 	{
@@ -53,16 +53,16 @@
 			Role:      RoleBalancer,
 			Resource:  "processor for control, burst of changes",
 			Unit:      unitCore,
-			Limit:     limitCore,
+			Limit:     maxControlCore,
 			Source:    WorkedOut,
 			Summary:   true,
 			Formula:   "5 views/s × (apply + publish + 12.3 × change on a link) + 12.3 × idle links",
 			Mechanism: "coalescing bounds a burst to 5 views a second; an interval of 0.4 s under load would halve the term",
 		},
 		value: func(r repetition) float64 {
-			links := relayed + balancerAsMember
+			links := agentsPerRelay + balancerLinkRatio
 
-			return burstViews*(balancerApply(r)+links*r.slope(LinkChange)) + links*r.slope(LinkIdle)
+			return maxViewsPerSecond*(balancerApplyTime(r)+links*r.slope(LinkChange)) + links*r.slope(LinkIdle)
 		},
 	},
 	{
@@ -70,25 +70,25 @@
 			Role:      RoleBalancer,
 			Resource:  "bytes for control, with relaying",
 			Unit:      unitRate,
-			Limit:     limitBytes,
+			Limit:     maxControlBytesPerSecond,
 			Source:    WorkedOut,
 			Summary:   true,
 			Formula:   "12.3 × (idle links + deltas) of an instance",
 			Mechanism: "one link instead of two, keep-alives only on links without other traffic; or dedicated relays",
 		},
-		value: func(r repetition) float64 { return (relayed + balancerAsMember) * instanceTraffic(r) },
+		value: func(r repetition) float64 { return (agentsPerRelay + balancerLinkRatio) * instanceBytesPerSecond(r) },
 	},
 	{
 		Row: Row{
 			Role:     RoleBalancer,
 			Resource: "bytes for control, with one link for each instance",
 			Unit:     unitRate,
-			Limit:    limitBytes,
+			Limit:    maxControlBytesPerSecond,
 			Source:   WorkedOut,
 			Formula:  "with relaying - 12.3 × link that is only kept alive; not built",
 		},
 		value: func(r repetition) float64 {
-			return (relayed + balancerAsMember) * (instanceTraffic(r) - r.slope(TrafficLink))
+			return (agentsPerRelay + balancerLinkRatio) * (instanceBytesPerSecond(r) - r.slope(TrafficLink))
 		},
 	},
 	{
@@ -96,7 +96,7 @@
 			Role:     RoleBalancer,
 			Resource: "a zone is lost or returns at once: new table",
 			Unit:     unitSeconds,
-			Limit:    limitChange,
+			Limit:    maxChangeSeconds,
 			Source:   WorkedOut,
 			Formula:  "delta of 1,857 agents + table build × 1,857 / 6,700 services",
 		},
@@ -107,7 +107,7 @@
 			Role:      RoleBalancer,
 			Resource:  "a region is lost or returns at once: new table",
 			Unit:      unitSeconds,
-			Limit:     limitChange,
+			Limit:     maxChangeSeconds,
 			Source:    WorkedOut,
 			Summary:   true,
 			Formula:   "delta of 6,500 agents + table build × 6,500 / 6,700 services",
@@ -120,11 +120,11 @@
 			Role:     RoleBalancer,
 			Resource: "bytes for control, own share",
 			Unit:     unitRate,
-			Limit:    limitBytes,
+			Limit:    maxControlBytesPerSecond,
 			Source:   WorkedOut,
 			Formula:  "1.5 × (idle links + deltas) of an instance",
 		},
-		value: func(r repetition) float64 { return balancerAsMember * instanceTraffic(r) },
+		value: func(r repetition) float64 { return balancerLinkRatio * instanceBytesPerSecond(r) },
 	},
 	{
 		Row: Row{
@@ -135,7 +135,7 @@
 			Formula:  "220,000 / 2,400 flows/s × 3 Initial datagrams (assumed) × first packet",
 		},
 		value: func(r repetition) float64 {
-			return newFlows / targetBalancers * packetsPerFlow * r.slope(FirstPacket)
+			return newFlowsPerSecond / targetBalancers * packetsPerFlow * r.slope(FirstPacket)
 		},
 	},
 	{
@@ -166,7 +166,7 @@
 			Source:   Measured,
 			Formula:  "table build at 26,000; once at start",
 		},
-		value: func(r repetition) float64 { return r.at(TableBuild, targetAgents) },
+		value: func(r repetition) float64 { return r.valueAt(TableBuild, targetAgents) },
 	},
 	{
 		Row: Row{
@@ -176,16 +176,17 @@
 			Source:   Measured,
 			Formula:  "delta, view and table at 6,700 services",
 		},
-		value: func(r repetition) float64 { return r.at(EngineApply, targetServices) },
+		value: func(r repetition) float64 { return r.valueAt(EngineApply, targetServices) },
 	},
 }
 
-// rebuildTime returns a balancer's processor time for a change of one of the
-// given number of equal parts of the agents, each of another service.
+// rebuildTime returns a balancer's processor time after a change of all agents
+// of one part, where the agents are split into equal parts. Each changed agent
+// belongs to another service.
 func rebuildTime(r repetition, parts float64) float64 {
 	changed := targetAgents / parts
 
-	return r.at(DeltaApply, changed) + r.at(TableBuild, targetAgents)*min(1, changed/targetServices)
+	return r.valueAt(DeltaApply, changed) + r.valueAt(TableBuild, targetAgents)*min(1, changed/targetServices)
 }
 
 var relayRows = []formula{
@@ -197,7 +198,7 @@
 			Source:   WorkedOut,
 			Formula:  "10.8 × links of an instance, both ends; part of the balancer's row",
 		},
-		value: func(r repetition) float64 { return relayed * instanceTime(r) },
+		value: func(r repetition) float64 { return agentsPerRelay * instanceLinkTime(r) },
 	},
 	{
 		Row: Row{
@@ -207,7 +208,7 @@
 			Source:   WorkedOut,
 			Formula:  "10.8 × (idle links + deltas) of an instance; part of the balancer's row",
 		},
-		value: func(r repetition) float64 { return relayed * instanceTraffic(r) },
+		value: func(r repetition) float64 { return agentsPerRelay * instanceBytesPerSecond(r) },
 	},
 	{
 		Row: Row{
@@ -217,7 +218,7 @@
 			Source:   WorkedOut,
 			Formula:  "10.8 × full view",
 		},
-		value: func(r repetition) float64 { return relayed * viewBytes(r) },
+		value: func(r repetition) float64 { return agentsPerRelay * fullViewBytes(r) },
 	},
 	{
 		Row: Row{
@@ -228,7 +229,7 @@
 			Formula:  "encode once + 10.8 × full view × transfer of a byte, both ends",
 		},
 		value: func(r repetition) float64 {
-			return r.at(ViewEncode, targetAgents) + relayed*viewBytes(r)*r.slope(TransferTime)
+			return r.valueAt(ViewEncode, targetAgents) + agentsPerRelay*fullViewBytes(r)*r.slope(TransferTime)
 		},
 	},
 	{
@@ -240,13 +241,13 @@
 			Formula:   "256 deltas / 0.352 changes/s; 51 s of continuous changes",
 			Mechanism: "a longer ring would carry more: a delta of one agent is some 200 B",
 		},
-		value: func(repetition) float64 { return ringChanges / changesPerSecond },
+		value: func(repetition) float64 { return maxKeptDeltas / changesPerSecond },
 	},
 	{
 		Row: Row{
 			Role:     RoleRelay,
 			Resource: "changes that a region cut off for 10 minutes misses",
-			Limit:    ringChanges,
+			Limit:    maxKeptDeltas,
 			Source:   WorkedOut,
 			Formula:  "600 s × 0.352/s; limit: the deltas that a publisher keeps",
 		},
@@ -263,6 +264,6 @@
 				"more needs a full view for everyone",
 			Mechanism: "announcements take longer than one interval; a delta in several updates would carry it",
 		},
-		value: func(r repetition) float64 { return r.at(DeltaBytes, targetInstances/targetRegions) },
+		value: func(r repetition) float64 { return r.valueAt(DeltaBytes, targetInstances/targetRegions) },
 	},
 }
--- a/internal/testing/capacity/rows_control.go
+++ b/internal/testing/capacity/rows_control.go
@@ -6,35 +6,39 @@
 	"jayspindle/internal/state/wal"
 )
 
-// relayCalls is the number of batches of renewals a second at the leader: a
-// relay with 10.8 agents has at least one renewal in nearly every interval.
-const relayCalls = targetBalancers / batchInterval
+// renewBatchesPerSecond is the number of batches of renewals that the leader
+// receives. A relay with 10.8 agents has at least one renewal in nearly every
+// interval.
+const renewBatchesPerSecond = targetBalancers / batchIntervalSeconds
 
-// acceptedDay is the number of accepted documents a day: each passes trial
-// before production.
-const acceptedDay = documentsInForce * changesADay
+// acceptedDocumentsPerDay counts both environments: each document is accepted
+// in trial before production.
+const acceptedDocumentsPerDay = documentsInForce * changesPerDay
 
-// leaderTime returns the leader's processor time a second for leases.
-func leaderTime(r repetition) float64 {
-	return relayCalls*r.slope(CallTime) + targetBalancers*r.slope(LinkIdle) +
-		r.at(RenewHandle, targetInstances)/renewInterval
+// leaderLeaseTime returns the processor time per second that the leader and its
+// links need for leases.
+func leaderLeaseTime(r repetition) float64 {
+	return renewBatchesPerSecond*r.slope(CallTime) + targetBalancers*r.slope(LinkIdle) +
+		r.valueAt(RenewHandle, targetInstances)/renewIntervalSeconds
 }
 
-// logBytes returns the bytes of the log in a day. Trial gets the documents.
-func logBytes(r repetition) float64 {
-	return changesADay*r.at(DocumentEntries, targetServices) + restartsDay*r.slope(RestartEntries)
+// logBytesPerDay returns the bytes that the log grows by in a day. Only changes in
+// trial contain the document; those in production refer to its digest.
+func logBytesPerDay(r repetition) float64 {
+	return changesPerDay*r.valueAt(DocumentEntries, targetServices) + restartsPerDay*r.slope(RestartEntries)
 }
 
-// snapshotBytes returns the size of a snapshot: members and one document, and
-// for each version kept what it adds in memory.
+// snapshotBytes returns the size of a snapshot: the members, one document, and
+// for each kept version as many bytes as it adds to the live memory.
 func snapshotBytes(r repetition) float64 {
-	return r.at(SnapshotBytes, targetAgents) + versionMemory(r)
+	return r.valueAt(SnapshotBytes, targetAgents) + versionMemory(r)
 }
 
-// versionMemory returns the memory of the versions kept in both environments.
-// What a version adds grows with the services at most.
+// versionMemory returns the memory of the versions kept in both environments. It
+// is an upper bound: the memory of a version grows at most in proportion to the
+// number of services.
 func versionMemory(r repetition) float64 {
-	return documentsInForce * keptVersions * versionsPart * r.slope(VersionMemory)
+	return documentsInForce * maxKeptVersions * versionServicesDivisor * r.slope(VersionMemory)
 }
 
 var controllerRows = slices.Concat(leaderRows, replicaRows)
@@ -52,7 +56,7 @@
 				"a planning value",
 			Mechanism: "28 relays of zones that pass renewals on would make it 93 batches a second",
 		},
-		value: leaderTime,
+		value: leaderLeaseTime,
 	},
 	{
 		Row: Row{
@@ -63,7 +67,7 @@
 			Source:   Assumed,
 			Formula:  "half of the row above: both ends of a link cost the same (assumed)",
 		},
-		value: func(r repetition) float64 { return leaderTime(r) / 2 },
+		value: func(r repetition) float64 { return leaderLeaseTime(r) / 2 },
 	},
 	{
 		Row: Row{
@@ -77,8 +81,8 @@
 		value: func(r repetition) float64 {
 			const relays = 2 * targetZones
 
-			return relays/batchInterval*r.slope(CallTime) + relays*r.slope(LinkIdle) +
-				r.at(RenewHandle, targetInstances)/renewInterval
+			return relays/batchIntervalSeconds*r.slope(CallTime) + relays*r.slope(LinkIdle) +
+				r.valueAt(RenewHandle, targetInstances)/renewIntervalSeconds
 		},
 	},
 	{
@@ -99,7 +103,7 @@
 			Source:   WorkedOut,
 			Formula:  "28,400 × renewal in full batches; the packets of 8,000 calls come on top",
 		},
-		value: func(r repetition) float64 { return r.at(RenewBytes, targetInstances) / renewInterval },
+		value: func(r repetition) float64 { return r.valueAt(RenewBytes, targetInstances) / renewIntervalSeconds },
 	},
 	{
 		Row: Row{
@@ -111,9 +115,9 @@
 			Formula:  "2 × (catalog + 512 versions + leases + 2,400 × links of an instance, both ends)",
 		},
 		value: func(r repetition) float64 {
-			return heapGrowth * (documentsInForce*r.at(CatalogMemory, targetAgents) +
+			return heapGrowthFactor * (documentsInForce*r.valueAt(CatalogMemory, targetAgents) +
 				versionMemory(r) +
-				r.at(LeaseMemory, targetInstances) + targetBalancers*r.slope(LinkMemory))
+				r.valueAt(LeaseMemory, targetInstances) + targetBalancers*r.slope(LinkMemory))
 		},
 	},
 }
@@ -129,13 +133,15 @@
 			Summary:  true,
 			Formula:  "26,000 / day × (submit, two signatures, new view at 6,700 services), at every replica",
 		},
-		value: func(r repetition) float64 { return acceptedDay / day * r.at(DocumentAccept, targetServices) },
+		value: func(r repetition) float64 {
+			return acceptedDocumentsPerDay / secondsPerDay * r.valueAt(DocumentAccept, targetServices)
+		},
 	},
 	{
 		Row: Row{
 			Role:     RoleController,
 			Resource: "instances reserved for control",
-			Limit:    limitControllers,
+			Limit:    maxControllers,
 			Source:   Assumed,
 			Summary:  true,
 			Formula:  "5 voters survive two losses; relays are balancers",
@@ -150,7 +156,7 @@
 			Source:   Measured,
 			Formula:  "submit, two signatures, new view at 6,700 services; everything else waits for it",
 		},
-		value: func(r repetition) float64 { return r.at(DocumentAccept, targetServices) },
+		value: func(r repetition) float64 { return r.valueAt(DocumentAccept, targetServices) },
 	},
 	{
 		Row: Row{
@@ -163,7 +169,7 @@
 		value: func(r repetition) float64 {
 			subscribers := float64(targetBalancers) / voters
 
-			return changesPerSecond * (r.at(PublishApply, subscribers) + subscribers*r.slope(LinkChange))
+			return changesPerSecond * (r.valueAt(PublishApply, subscribers) + subscribers*r.slope(LinkChange))
 		},
 	},
 	{
@@ -176,7 +182,7 @@
 			Formula:   "13,000 documents of trial + 5,700 × entries of a restart",
 			Mechanism: "snapshots by bytes; a submit that carries changed chunks of at most 8 KiB would cut it to 107 MB",
 		},
-		value: logBytes,
+		value: logBytesPerDay,
 	},
 	{
 		Row: Row{
@@ -186,7 +192,7 @@
 			Source:   WorkedOut,
 			Formula:  "log of a day / 86,400 s",
 		},
-		value: func(r repetition) float64 { return logBytes(r) / day },
+		value: func(r repetition) float64 { return logBytesPerDay(r) / secondsPerDay },
 	},
 	{
 		Row: Row{
@@ -208,7 +214,7 @@
 			Source:   Measured,
 			Formula:  "at 26,000 agents, one version",
 		},
-		value: func(r repetition) float64 { return r.at(SnapshotEncode, targetAgents) },
+		value: func(r repetition) float64 { return r.valueAt(SnapshotEncode, targetAgents) },
 	},
 	{
 		Row: Row{
@@ -218,7 +224,7 @@
 			Source:   Measured,
 			Formula:  "at 26,000 agents, one version",
 		},
-		value: func(r repetition) float64 { return r.at(SnapshotRestore, targetAgents) },
+		value: func(r repetition) float64 { return r.valueAt(SnapshotRestore, targetAgents) },
 	},
 	{
 		Row: Row{
@@ -229,7 +235,7 @@
 			Formula:  "5,840 / day × (entries of a restart, one view at 3,250 agents, × 8)",
 		},
 		value: func(r repetition) float64 {
-			return (restartsDay + failuresDay) / day * 8 * r.slope(RestartApply)
+			return (restartsPerDay + failuresPerDay) / secondsPerDay * 8 * r.slope(RestartApply)
 		},
 	},
 }
@@ -240,7 +246,7 @@
 			Role:     RoleFleet,
 			Resource: "time from acceptance until in force everywhere",
 			Unit:     unitSeconds,
-			Limit:    limitChange,
+			Limit:    maxChangeSeconds,
 			Source:   Assumed,
 			Summary:  true,
 			Formula: "commit (2 × 0.1 s + 2 × 10 ms, assumed) + accepted document + 2 levels × 2 × 0.2 s + " +
@@ -248,19 +254,19 @@
 				"10.8 × change on a link + agent's apply",
 			Mechanism: "coalescing at two levels",
 		},
-		value: changeTime,
+		value: changeLatency,
 	},
 	{
 		Row: Row{
 			Role:     RoleFleet,
 			Resource: "the same with a lost leader and a silent update stream",
 			Unit:     unitSeconds,
-			Limit:    limitChange,
+			Limit:    maxChangeSeconds,
 			Source:   Assumed,
 			Summary:  true,
 			Formula:  "the row above + 1 s election + 6 s silence of an update stream + 1 s dial + 0.5 s full view",
 		},
-		value: func(r repetition) float64 { return changeTime(r) + 1 + 6 + 1 + 0.5 },
+		value: func(r repetition) float64 { return changeLatency(r) + 1 + 6 + 1 + 0.5 },
 	},
 	{
 		Row: Row{
@@ -270,20 +276,20 @@
 			Source:   WorkedOut,
 			Formula:  "171 balancers × full view",
 		},
-		value: func(r repetition) float64 { return targetBalancers / float64(targetZones) * viewBytes(r) },
+		value: func(r repetition) float64 { return targetBalancers / float64(targetZones) * fullViewBytes(r) },
 	},
 	{
 		Row: Row{
 			Role:     RoleFleet,
 			Resource: "a zone returns: time for all views",
 			Unit:     unitSeconds,
-			Limit:    limitChange,
+			Limit:    maxChangeSeconds,
 			Source:   Assumed,
 			Summary:  true,
 			Formula: "transfer by 5 controllers at 1 Gbit/s (assumed) or on one core each, whichever is longer, " +
 				"+ transfer by the relay + 2 × decoding + table",
 		},
-		value: func(r repetition) float64 { return returnTime(r, targetZones) },
+		value: func(r repetition) float64 { return viewRecoveryTime(r, targetZones) },
 	},
 	{
 		Row: Row{
@@ -293,27 +299,27 @@
 			Source:   WorkedOut,
 			Formula:  "600 balancers × full view",
 		},
-		value: func(r repetition) float64 { return targetBalancers / float64(targetRegions) * viewBytes(r) },
+		value: func(r repetition) float64 { return targetBalancers / float64(targetRegions) * fullViewBytes(r) },
 	},
 	{
 		Row: Row{
 			Role:      RoleFleet,
 			Resource:  "a region returns: time for all views",
 			Unit:      unitSeconds,
-			Limit:     limitChange,
+			Limit:     maxChangeSeconds,
 			Source:    Assumed,
 			Summary:   true,
 			Formula:   "as for a zone, with 600 balancers",
 			Mechanism: "views spread over controllers; compression, or relays that share views within the zone",
 		},
-		value: func(r repetition) float64 { return returnTime(r, targetRegions) },
+		value: func(r repetition) float64 { return viewRecoveryTime(r, targetRegions) },
 	},
 	{
 		Row: Row{
 			Role:     RoleFleet,
 			Resource: "a region returns: leader's time for its announcements",
 			Unit:     unitSeconds,
-			Limit:    limitChange,
+			Limit:    maxChangeSeconds,
 			Source:   Assumed,
 			Summary:  true,
 			Formula: "7,100 × (entries of a restart with one view at 3,250 agents + call, both ends); " +
@@ -336,23 +342,24 @@
 	},
 }
 
-// changeTime returns the time from acceptance until a change is in force.
-func changeTime(r repetition) float64 {
-	commit := 2*assumedRegionLatency + 2*assumedFsync
-	publishing := r.at(PublishApply, targetBalancers/voters) + targetBalancers/voters*r.slope(LinkChange)
-	relaying := balancerApply(r) + relayed*r.slope(LinkChange)
+// changeLatency returns the time from the acceptance of a change until it is in
+// force everywhere.
+func changeLatency(r repetition) float64 {
+	commitTime := 2*assumedRegionLatencySeconds + 2*assumedFsyncSeconds
+	publishTime := r.valueAt(PublishApply, targetBalancers/voters) + targetBalancers/voters*r.slope(LinkChange)
+	relayTime := balancerApplyTime(r) + agentsPerRelay*r.slope(LinkChange)
 
-	return commit + r.at(DocumentAccept, targetServices) + 2*2*coalesced + 2*assumedRegionLatency +
-		publishing + relaying + r.at(AgentApply, targetServices)
+	return commitTime + r.valueAt(DocumentAccept, targetServices) + 2*2*coalesceSeconds + 2*assumedRegionLatencySeconds +
+		publishTime + relayTime + r.valueAt(AgentApply, targetServices)
 }
 
-// returnTime returns the time until one of the given number of equal parts of
-// the fleet has its views again.
-func returnTime(r repetition, parts float64) float64 {
-	fromControllers := targetBalancers / parts * viewBytes(r) / voters
-	fromRelay := relayed * viewBytes(r)
-	transfer := func(bytes float64) float64 { return max(bytes/assumedBandwidth, bytes*r.slope(TransferTime)) }
+// viewRecoveryTime returns the time until all instances of one part have
+// received the view, where the fleet is split into equal parts.
+func viewRecoveryTime(r repetition, parts float64) float64 {
+	bytesPerController := targetBalancers / parts * fullViewBytes(r) / voters
+	bytesPerRelay := agentsPerRelay * fullViewBytes(r)
+	transfer := func(bytes float64) float64 { return max(bytes/assumedBytesPerSecond, bytes*r.slope(TransferTime)) }
 
-	return r.at(ViewEncode, targetAgents) + transfer(fromControllers) + 2*r.at(ViewDecode, targetAgents) +
-		r.at(TableBuild, targetAgents) + transfer(fromRelay)
+	return r.valueAt(ViewEncode, targetAgents) + transfer(bytesPerController) + 2*r.valueAt(ViewDecode, targetAgents) +
+		r.valueAt(TableBuild, targetAgents) + transfer(bytesPerRelay)
 }
--- a/internal/testing/capacity/tablecost.go
+++ b/internal/testing/capacity/tablecost.go
@@ -21,9 +21,10 @@
 	AgentApply   ID = "agent apply"
 )
 
-const lookups = 200_000
+const lookupsPerRun = 200_000
 
-// tables measures routing tables, with as many services as the agents need.
+// tables measures routing tables. The number of services is in proportion to the
+// number of agents.
 var tables = probe{
 	name: "routing tables", per: "agent", sizes: agentSizes,
 	labels: []label{
@@ -33,14 +34,14 @@
 		{TableOwner, "look-up of the owner of a bucket", unitSeconds},
 	},
 	run: func(_ context.Context, size int) ([]float64, error) {
-		whole := view.New(contentsOf(size))
-		changed := applied(whole, marshal(reweighted(whole)))
-		services := uint64(len(whole.Services()))
+		full := view.New(makeContents(size))
+		changed := mustApply(full, mustMarshal(reweightDelta(full)))
+		services := uint64(len(full.Services()))
 
 		var table *routing.Table
 
-		memory := memoryOf(func() *routing.Table {
-			table = routing.New(whole)
+		memory := retainedMemory(func() *routing.Table {
+			table = routing.New(full)
 
 			return table
 		})
@@ -48,21 +49,21 @@
 
 		return []float64{
 			memory,
-			seconds(func() { routing.New(whole) }),
-			seconds(func() { table.Next(changed) }),
-			seconds(func() {
-				for range lookups {
+			secondsPerRun(func() { routing.New(full) }),
+			secondsPerRun(func() { table.Next(changed) }),
+			secondsPerRun(func() {
+				for range lookupsPerRun {
 					hash := random.Uint64()
 					table.Owner(view.ServiceID(hash%services+1), hash)
 				}
-			}) / lookups,
+			}) / lookupsPerRun,
 		}, nil
 	},
 }
 
-// limiters measures all that a balancer keeps beside the view: table, keys and
-// the limiters of each service and its sources.
-var limiters = probe{
+// forwardingState measures what a balancer keeps besides the view: the routing
+// table, the keys and the rate limiters of each service and its sources.
+var forwardingState = probe{
 	name: "forwarding state", per: "service", sizes: []int{838, 1675, 3350, targetServices},
 	labels: []label{
 		{EngineMemory, "live memory of table, keys and limits", unitBytes},
@@ -70,24 +71,24 @@
 		{AgentApply, "agent: the same", unitSeconds},
 	},
 	run: func(_ context.Context, size int) ([]float64, error) {
-		whole := view.New(contentsOf(size * targetAgents / targetServices))
-		memory := memoryOf(func() *forward.Balancer { return engineOf(whole) })
-		engine := engineOf(whole)
-
-		current := whole
-		apply := seconds(func() {
-			current = applied(current, marshal(reweighted(current)))
-			if err := engine.Apply(current); err != nil {
+		full := view.New(makeContents(size * targetAgents / targetServices))
+		memory := retainedMemory(func() *forward.Balancer { return newBalancer(full) })
+		balancer := newBalancer(full)
+
+		current := full
+		apply := secondsPerRun(func() {
+			current = mustApply(current, mustMarshal(reweightDelta(current)))
+			if err := balancer.Apply(current); err != nil {
 				panic(err) // the positions rise and the keys are valid
 			}
 		})
 
-		agent := forward.NewAgent(whole.Agents()[0].Incarnation, whole.Agents()[0].Service)
-		current = whole
-		applyAgent := seconds(func() {
-			current = applied(current, marshal(reweighted(current)))
+		agent := forward.NewAgent(full.Agents()[0].Incarnation, full.Agents()[0].Service)
+		current = full
+		applyAgent := secondsPerRun(func() {
+			current = mustApply(current, mustMarshal(reweightDelta(current)))
 			if err := agent.Apply(current); err != nil {
-				panic(err) // as above
+				panic(err) // see above
 			}
 		})
 
@@ -95,12 +96,12 @@
 	},
 }
 
-// engineOf returns a balancer's state with a view of this package in force.
-func engineOf(current *view.View) *forward.Balancer {
-	engine := forward.NewBalancer(1, 1)
-	if err := engine.Apply(current); err != nil {
+// newBalancer returns a balancer that has applied a view of this package.
+func newBalancer(current *view.View) *forward.Balancer {
+	balancer := forward.NewBalancer(1, 1)
+	if err := balancer.Apply(current); err != nil {
 		panic(err)
 	}
 
-	return engine
+	return balancer
 }
--- a/internal/testing/capacity/target.go
+++ b/internal/testing/capacity/target.go
@@ -10,45 +10,46 @@
 	targetRegions = 4
 	targetZones   = 14
 
-	openFlows   = 46e6
-	newFlows    = 220_000.0 // a second
-	day         = 86_400.0  // seconds
-	changesADay = 13_000.0
-	restartsDay = 5_700.0
-	failuresDay = 140.0
+	openFlows         = 46e6
+	newFlowsPerSecond = 220_000.0
+	secondsPerDay     = 86_400.0
+	changesPerDay     = 13_000.0
+	restartsPerDay    = 5_700.0
+	failuresPerDay    = 140.0
 )
 
-// The limits of the design page.
+// The limits of the design page, for control traffic and processing.
 const (
-	limitCore        = 0.044 // of one core, for control
-	limitMemory      = 256e6 // bytes, for control
-	limitBytes       = 4000  // a second, for control
-	limitControllers = 10    // instances reserved for control
-	limitChange      = 12    // seconds until a change is in force everywhere
+	maxControlCore           = 0.044 // of one core
+	maxControlMemoryBytes    = 256e6
+	maxControlBytesPerSecond = 4000
+	maxControllers           = 10 // instances reserved for control
+	maxChangeSeconds         = 12 // until a change is in force everywhere
 )
 
-// What the design states without a constant that other packages export.
+// Values of the design that no other package exports as a constant.
 const (
-	documentsInForce = 2     // trial and production
-	heapGrowth       = 2.0   // the collector's default lets the heap double
-	renewInterval    = 1.0   // seconds
-	batchInterval    = 0.3   // seconds, of the renewals at a relay
-	callerKeepAlive  = 5.0   // seconds
-	claimRecords     = 60000 // most records of an agent
-	linksOfInstance  = 2     // one for calls, one for views
-	packetsPerFlow   = 3.0   // Initial datagrams of a caller, assumed
+	documentsInForce       = 2   // trial and production
+	heapGrowthFactor       = 2.0 // with the default GOGC the heap grows to twice the live memory
+	renewIntervalSeconds   = 1.0
+	batchIntervalSeconds   = 0.3 // between two batches of renewals that a relay passes on
+	callerKeepAliveSeconds = 5.0
+	maxClaimRecords        = 60000 // at-most-once records of one agent
+	linksPerInstance       = 2     // one for calls, one for views
+	packetsPerFlow         = 3.0   // QUIC Initial datagrams to open a flow, assumed
 )
 
-// Assumptions that no measurement here supports.
+// Assumptions that no probe measures.
 const (
-	assumedBandwidth     = 125e6 // bytes a second of one instance: 1 Gbit/s
-	assumedRegionLatency = 0.1   // seconds, one way between regions
-	assumedFsync         = 0.01  // seconds, of a disk with a slow write cache
+	assumedBytesPerSecond       = 125e6 // of one instance: 1 Gbit/s
+	assumedRegionLatencySeconds = 0.1   // one way between regions
+	assumedFsyncSeconds         = 0.01  // on a disk with a slow write cache
 )
 
-// Entries of the log and items of deltas a day in one environment. A restart
-// drains, goes and announces again; a failure expires and announces again.
+// Log entries and delta items per day in one environment. A restart takes three:
+// draining, gone and a new announcement. A failure takes two: the expiry of the
+// lease and a new announcement.
 const (
-	memberChangesDay = 3*restartsDay + 2*failuresDay
-	viewChangesDay   = changesADay + memberChangesDay
+	memberChangesPerDay = 3*restartsPerDay + 2*failuresPerDay
+	viewChangesPerDay   = changesPerDay + memberChangesPerDay
 )
--- a/internal/testing/capacity/viewcost.go
+++ b/internal/testing/capacity/viewcost.go
@@ -28,8 +28,8 @@
 
 var agentSizes = []int{3250, 6500, 13_000, targetAgents}
 
-// views measures whole views. Instances hold decoded views, whose strings are
-// not shared, so memory is measured on those.
+// views measures full views. Memory is measured on decoded views, because
+// instances hold these and their strings are not shared.
 var views = probe{
 	name: "views", per: "agent", sizes: agentSizes,
 	labels: []label{
@@ -41,23 +41,23 @@
 		{ViewApply, "delta of one agent: decode, apply, digest", unitSeconds},
 	},
 	run: func(_ context.Context, size int) ([]float64, error) {
-		whole := view.New(contentsOf(size))
+		full := view.New(makeContents(size))
 
-		encoded, err := whole.MarshalBinary()
+		encoded, err := full.MarshalBinary()
 		if err != nil {
 			return nil, err
 		}
 
-		delta := marshal(reweighted(whole))
-		memory := memoryOf(func() *view.View { return decoded(encoded) })
+		delta := mustMarshal(reweightDelta(full))
+		memory := retainedMemory(func() *view.View { return mustDecode(encoded) })
 
 		return []float64{
 			memory,
 			float64(len(encoded)),
-			float64(compressed(encoded)),
-			seconds(func() { marshal(whole) }),
-			seconds(func() { decoded(encoded).Digest() }),
-			seconds(func() { applied(whole, delta).Digest() }),
+			float64(gzipSize(encoded)),
+			secondsPerRun(func() { mustMarshal(full) }),
+			secondsPerRun(func() { mustDecode(encoded).Digest() }),
+			secondsPerRun(func() { mustApply(full, delta).Digest() }),
 		}, nil
 	},
 }
@@ -72,25 +72,25 @@
 		{ServiceBytes, "encoded delta of as many changed services", unitBytes},
 	},
 	run: func(_ context.Context, size int) ([]float64, error) {
-		whole := fullView()
-		delta := marshal(nextTo(whole, size))
-		next := applied(whole, delta)
-		services := deltaFrom(whole)
-		services.Services = whole.Services()[:size]
+		full := fullView()
+		delta := mustMarshal(replaceAgentsDelta(full, size))
+		next := mustApply(full, delta)
+		services := emptyDelta(full)
+		services.Services = full.Services()[:size]
 
 		return []float64{
 			float64(len(delta)),
-			seconds(func() { marshal(next.Diff(whole)) }),
-			seconds(func() { applied(whole, delta).Digest() }),
-			float64(len(marshal(services))),
+			secondsPerRun(func() { mustMarshal(next.Diff(full)) }),
+			secondsPerRun(func() { mustApply(full, delta).Digest() }),
+			float64(len(mustMarshal(services))),
 		}, nil
 	},
 }
 
-func fullView() *view.View { return view.New(contentsOf(targetAgents)) }
+func fullView() *view.View { return view.New(makeContents(targetAgents)) }
 
-// marshal encodes plain values and views, which cannot fail.
-func marshal(value any) []byte {
+// mustMarshal encodes views and deltas of this package, which cannot fail.
+func mustMarshal(value any) []byte {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
 		panic(err)
@@ -99,18 +99,18 @@
 	return encoded
 }
 
-// decoded decodes a view that this package encoded.
-func decoded(encoded []byte) *view.View {
-	made, err := view.Decode(encoded)
+// mustDecode decodes a view that this package encoded.
+func mustDecode(encoded []byte) *view.View {
+	result, err := view.Decode(encoded)
 	if err != nil {
 		panic(err)
 	}
 
-	return made
+	return result
 }
 
-// applied applies a delta that this package made for the view.
-func applied(old *view.View, encoded []byte) *view.View {
+// mustApply applies an encoded delta that this package made for the view.
+func mustApply(old *view.View, encoded []byte) *view.View {
 	var delta view.Delta
 	if err := cbor.Unmarshal(encoded, &delta); err != nil {
 		panic(err)
@@ -124,12 +124,12 @@
 	return next
 }
 
-func compressed(data []byte) int {
+func gzipSize(data []byte) int {
 	var buffer bytes.Buffer
 
 	writer := gzip.NewWriter(&buffer)
 	if _, err := writer.Write(data); err != nil {
-		panic(err) // a buffer takes everything
+		panic(err) // writing to a buffer cannot fail
 	}
 
 	if err := writer.Close(); err != nil {
