--- a/internal/testing/measure/admission_test.go
+++ b/internal/testing/measure/admission_test.go
@@ -17,9 +17,10 @@
 	{name: "scheduler", make: measure.NewScheduler},
 }
 
-// BenchmarkFlood reports, per deployment, flooding class and policy, how much
-// urgent work is in time and which part of its minimum share the class that is
-// worst off keeps. Figures are medians over the seeds 1 to b.N.
+// BenchmarkFlood reports, per deployment, flooding class and policy, the
+// fraction of urgent requests answered in time and the lowest fraction of its
+// minimum share that any class receives. Figures are medians over the seeds 1
+// to b.N.
 func BenchmarkFlood(b *testing.B) {
 	for _, deployment := range measure.Deployments() {
 		for _, flooder := range []measure.Flooder{measure.Nobody, measure.LeastUrgent, measure.MostUrgent} {
@@ -30,29 +31,29 @@
 					for seed := range b.N {
 						result := measure.Flood(deployment.Flooded(flooder), policy.make, uint64(seed+1))
 						urgent = append(urgent, result.Class(deployment.Work[0].Class.Name).InTime())
-						kept = append(kept, worstShare(result))
+						kept = append(kept, lowestShareKept(result))
 						busy = append(busy, result.Busy)
 					}
 
-					report(b, "urgent-in-time", urgent)
-					report(b, "share-kept", kept)
-					report(b, "busy", busy)
+					reportSummary(b, "urgent-in-time", urgent)
+					reportSummary(b, "share-kept", kept)
+					reportSummary(b, "busy", busy)
 				})
 			}
 		}
 	}
 }
 
-func worstShare(result measure.FloodResult) float64 {
-	worst := 1e9
+func lowestShareKept(result measure.FloodResult) float64 {
+	lowest := 1e9
 	for _, class := range result.Classes {
-		worst = min(worst, class.ShareKept())
+		lowest = min(lowest, class.ShareKept())
 	}
 
-	return worst
+	return lowest
 }
 
-func report(b *testing.B, name string, values []float64) {
+func reportSummary(b *testing.B, name string, values []float64) {
 	b.Helper()
 
 	summary := measure.Summarize(values)
--- a/internal/testing/measure/balance.go
+++ b/internal/testing/measure/balance.go
@@ -10,52 +10,52 @@
 	"jayspindle/internal/state/view"
 )
 
-// FlowMethod selects how new flows are spread over agents.
+// FlowMethod selects how new flows are distributed over agents.
 type FlowMethod int
 
-// The methods of spreading flows.
+// The methods of distributing flows.
 const (
-	FlowsByTable         FlowMethod = iota // in use: rendezvous hashing with a limit
-	FlowsByRendezvous                      // weighted rendezvous hashing of each flow without a limit
-	FlowsAtRandom                          // independently of everything
+	FlowsByTable         FlowMethod = iota // production method: rendezvous hashing with a limit
+	FlowsByRendezvous                      // weighted rendezvous hashing of each flow, without a limit
+	FlowsAtRandom                          // uniformly at random
 	FlowsByLeastReported                   // to the agent that reported the fewest flows
 )
 
-// FlowBalanceConfig describes flows that come and go at the agents of one
-// service. Each agent reports its number of flows at an interval; the first
-// one always reports none.
+// FlowBalanceConfig describes flows that open and end at the agents of one
+// service. Each agent reports its number of flows periodically; the first agent
+// always reports 0, whatever its load.
 type FlowBalanceConfig struct {
 	Seed          uint64
 	Agents        int
-	FlowsPerAgent int // open at a time, mean
+	FlowsPerAgent int // mean number of open flows
 	Method        FlowMethod
 }
 
 const (
-	flowLifetime    = time.Minute // mean, exponentially distributed
-	balanceDuration = 4 * time.Minute
-	balanceWarmUp   = 2 * time.Minute
-	balanceSample   = 5 * time.Second
+	meanFlowLifetime      = time.Minute // exponentially distributed
+	balanceDuration       = 4 * time.Minute
+	balanceWarmUp         = 2 * time.Minute
+	balanceSampleInterval = 5 * time.Second
 )
 
-// balanceRun is the state of a run.
+// balanceRun is the state of a FlowBalance run.
 type balanceRun struct {
 	*simulation
-	config   FlowBalanceConfig
-	random   *rand.Rand
-	table    *routing.Table
-	members  []view.Agent
-	open     []float64 // flows of each agent
-	reported []float64
-	worst    float64
+	config        FlowBalanceConfig
+	random        *rand.Rand
+	table         *routing.Table
+	members       []view.Agent
+	openFlows     []float64 // per agent
+	reportedFlows []float64 // per agent, from the last report
+	maxImbalance  float64
 }
 
-// FlowBalance returns the highest imbalance seen in samples of open flows: the
+// FlowBalance samples the open flows and returns the highest imbalance: the
 // flows of the busiest agent divided by the mean.
 func FlowBalance(config FlowBalanceConfig) float64 {
 	r := &balanceRun{
 		simulation: newSimulation(balanceDuration), config: config, random: rand.New(rand.NewPCG(config.Seed, 5)),
-		open: make([]float64, config.Agents), reported: make([]float64, config.Agents),
+		openFlows: make([]float64, config.Agents), reportedFlows: make([]float64, config.Agents),
 	}
 
 	for i := range config.Agents {
@@ -70,25 +70,27 @@
 		Position: view.Position{Index: 1}, Services: []view.Service{{ID: 1, Buckets: defaultBuckets}}, Agents: r.members,
 	}))
 
-	rate := float64(config.Agents*config.FlowsPerAgent) / flowLifetime.Seconds()
-	r.arrivals(r.random, epoch, rate, r.arrive)
+	rate := float64(config.Agents*config.FlowsPerAgent) / meanFlowLifetime.Seconds()
+	r.scheduleArrivals(r.random, epoch, rate, r.openFlow)
 	r.report(epoch)
-	r.at(epoch.Add(balanceWarmUp), r.sample)
+	r.schedule(epoch.Add(balanceWarmUp), r.sample)
 	r.run()
 
-	return r.worst
+	return r.maxImbalance
 }
 
-// defaultBuckets is the number of buckets of a service that states none.
+// defaultBuckets is the number of buckets of a service that configures none.
 const defaultBuckets = 1024
 
-func (r *balanceRun) arrive(now time.Time) {
-	agent := r.pick()
-	r.open[agent]++
-	r.at(now.Add(seconds(r.random.ExpFloat64()*flowLifetime.Seconds())), func(time.Time) { r.open[agent]-- })
+func (r *balanceRun) openFlow(now time.Time) {
+	agent := r.pickAgent()
+	r.openFlows[agent]++
+	r.schedule(now.Add(seconds(r.random.ExpFloat64()*meanFlowLifetime.Seconds())), func(time.Time) {
+		r.openFlows[agent]--
+	})
 }
 
-func (r *balanceRun) pick() int {
+func (r *balanceRun) pickAgent() int {
 	hash := r.random.Uint64()
 
 	switch r.config.Method {
@@ -99,11 +101,11 @@
 	case FlowsByRendezvous:
 		return highestRandomWeight(hash%defaultBuckets, r.members)
 	case FlowsByLeastReported:
-		return slices.Index(r.reported, slices.Min(r.reported))
+		return slices.Index(r.reportedFlows, slices.Min(r.reportedFlows))
 	case FlowsAtRandom:
 	}
 
-	return int(hash % uint64(len(r.open)))
+	return int(hash % uint64(len(r.openFlows)))
 }
 
 // highestRandomWeight returns the index of the agent with the highest score
@@ -121,15 +123,15 @@
 	return best
 }
 
-// report sends the numbers of flows of all agents, which are in use until the
-// next reports.
+// report publishes the number of flows of every agent. FlowsByLeastReported
+// uses these numbers until the next report.
 func (r *balanceRun) report(now time.Time) {
-	copy(r.reported, r.open)
-	r.reported[0] = 0
-	r.at(now.Add(reportInterval), r.report)
+	copy(r.reportedFlows, r.openFlows)
+	r.reportedFlows[0] = 0
+	r.schedule(now.Add(reportInterval), r.report)
 }
 
 func (r *balanceRun) sample(now time.Time) {
-	r.worst = max(r.worst, busiestOverMean(r.open))
-	r.at(now.Add(balanceSample), r.sample)
+	r.maxImbalance = max(r.maxImbalance, busiestOverMean(r.openFlows))
+	r.schedule(now.Add(balanceSampleInterval), r.sample)
 }
--- a/internal/testing/measure/baseline.go
+++ b/internal/testing/measure/baseline.go
@@ -10,15 +10,15 @@
 	"jayspindle/internal/state/view"
 )
 
-// waitingRequest is a request in the queue of a baseline.
+// waitingRequest is a request in the queue of a boundedQueue.
 type waitingRequest struct {
 	id      uint64
 	expires time.Time
 	urgency uint8
 }
 
-// boundedQueue admits from one bounded queue without estimates, reserved slots
-// or minimum shares.
+// boundedQueue is a baseline that admits requests from one bounded queue,
+// without estimates, reserved slots or minimum shares.
 type boundedQueue struct {
 	policy  admission.Policy
 	strict  bool // most urgent first; otherwise first come, first served
@@ -26,18 +26,19 @@
 	running int
 }
 
-// NewFirstCome returns a baseline that serves in the order of arrival.
+// NewFirstCome returns a baseline that serves requests in order of arrival.
 func NewFirstCome(policy admission.Policy) Admitter { return &boundedQueue{policy: policy} }
 
-// NewStrictPriority returns a baseline that serves the most urgent first.
+// NewStrictPriority returns a baseline that serves the most urgent requests first.
 func NewStrictPriority(policy admission.Policy) Admitter {
 	return &boundedQueue{policy: policy, strict: true}
 }
 
-// NewScheduler returns the policy in use.
+// NewScheduler returns the scheduler used in production.
 func NewScheduler(policy admission.Policy) Admitter { return admission.New(policy) }
 
-// Offer queues the request and refuses the last one if the queue is full.
+// Offer queues the request and refuses the last request in the queue if the
+// queue is full.
 func (b *boundedQueue) Offer(now time.Time, request admission.Request) admission.Decision {
 	for _, class := range b.policy.Classes {
 		if class.Name == request.Class {
@@ -57,15 +58,15 @@
 }
 
 func (b *boundedQueue) insert(request waitingRequest) {
-	at := len(b.queue)
-	for b.strict && at > 0 && b.queue[at-1].urgency > request.urgency {
-		at--
+	index := len(b.queue)
+	for b.strict && index > 0 && b.queue[index-1].urgency > request.urgency {
+		index--
 	}
 
-	b.queue = slices.Insert(b.queue, at, request)
+	b.queue = slices.Insert(b.queue, index, request)
 }
 
-// Next refuses what has expired and starts what there are slots for.
+// Next refuses expired requests and starts requests while slots are free.
 func (b *boundedQueue) Next(now time.Time) []admission.Decision {
 	var decisions []admission.Decision
 
@@ -95,48 +96,50 @@
 	return true
 }
 
-// Wake reports that the queue never needs a call at a certain time.
+// Wake reports false: the queue needs no timer.
 func (b *boundedQueue) Wake() (time.Time, bool) { return time.Time{}, false }
 
-// Waiting returns the length of the queue.
+// Waiting returns the number of queued requests.
 func (b *boundedQueue) Waiting() int { return len(b.queue) }
 
-// simplePlacer is a baseline placer. choose returns the index of a sibling.
+// simplePlacer is a baseline placer. Its choose function returns the index of a
+// sibling.
 type simplePlacer struct {
-	random   *rand.Rand
-	siblings []view.Incarnation
-	inFlight []int
-	reported []float64
-	turn     int
-	choose   func(p *simplePlacer) int
+	random    *rand.Rand
+	siblings  []view.Incarnation
+	inFlight  []int
+	reported  []float64
+	lastIndex int
+	choose    func(p *simplePlacer) int
 }
 
 func newSimplePlacer(seed uint64, choose func(p *simplePlacer) int) Placer {
 	return &simplePlacer{random: rand.New(rand.NewPCG(seed, 0)), choose: choose}
 }
 
-// NewRandom returns a baseline that picks at random.
-func NewRandom(seed uint64) Placer { return newSimplePlacer(seed, (*simplePlacer).any) }
+// NewRandom returns a baseline that picks a sibling at random.
+func NewRandom(seed uint64) Placer { return newSimplePlacer(seed, (*simplePlacer).randomIndex) }
 
-// NewRoundRobin returns a baseline that picks in turn.
+// NewRoundRobin returns a baseline that picks the siblings in turn.
 func NewRoundRobin(seed uint64) Placer {
 	return newSimplePlacer(seed, func(p *simplePlacer) int {
-		p.turn = (p.turn + 1) % len(p.siblings)
+		p.lastIndex = (p.lastIndex + 1) % len(p.siblings)
 
-		return p.turn
+		return p.lastIndex
 	})
 }
 
-// NewLeastReported returns a baseline that believes load reports.
+// NewLeastReported returns a baseline that picks the sibling with the lowest
+// reported load.
 func NewLeastReported(seed uint64) Placer {
 	return newSimplePlacer(seed, func(p *simplePlacer) int { return slices.Index(p.reported, slices.Min(p.reported)) })
 }
 
-// NewTwoChoices returns a baseline that picks two at random and takes the one
-// with fewer own requests in flight (Mitzenmacher, 2001).
+// NewTwoChoices returns a baseline that picks two siblings at random and takes
+// the one to which it has fewer requests in flight (Mitzenmacher, 2001).
 func NewTwoChoices(seed uint64) Placer {
 	return newSimplePlacer(seed, func(p *simplePlacer) int {
-		a, b := p.any(), p.any()
+		a, b := p.randomIndex(), p.randomIndex()
 		if p.inFlight[b] < p.inFlight[a] {
 			return b
 		}
@@ -145,12 +148,12 @@
 	})
 }
 
-// NewPicker returns the policy in use.
+// NewPicker returns the picker used in production.
 func NewPicker(seed uint64) Placer { return placement.New(placement.DefaultPolicy(), seed) }
 
-func (p *simplePlacer) any() int { return p.random.IntN(len(p.siblings)) }
+func (p *simplePlacer) randomIndex() int { return p.random.IntN(len(p.siblings)) }
 
-// Update takes the agents to pick from.
+// Update replaces the agents to pick from.
 func (p *simplePlacer) Update(_ time.Time, agents []view.Agent) {
 	p.siblings = nil
 	for _, agent := range agents {
@@ -159,10 +162,10 @@
 
 	p.inFlight = make([]int, len(agents))
 	p.reported = make([]float64, len(agents))
-	p.turn = p.random.IntN(len(agents))
+	p.lastIndex = p.random.IntN(len(agents))
 }
 
-// Pick returns the sibling that the baseline chooses.
+// Pick returns the chosen sibling and counts a request in flight to it.
 func (p *simplePlacer) Pick(time.Time, ...view.Incarnation) (view.Incarnation, bool) {
 	i := p.choose(p)
 	p.inFlight[i]++
@@ -170,12 +173,12 @@
 	return p.siblings[i], true
 }
 
-// Observe counts the end of a request.
+// Observe counts a request as no longer in flight.
 func (p *simplePlacer) Observe(_ time.Time, incarnation view.Incarnation, _ placement.Outcome) {
 	p.inFlight[slices.Index(p.siblings, incarnation)]--
 }
 
-// Report takes a load report.
+// Report stores the reported load.
 func (p *simplePlacer) Report(_ time.Time, incarnation view.Incarnation, load float64) {
 	p.reported[slices.Index(p.siblings, incarnation)] = load
 }
--- a/internal/testing/measure/claims.go
+++ b/internal/testing/measure/claims.go
@@ -9,115 +9,115 @@
 	"jayspindle/internal/coordination/claim"
 )
 
-// Retention and MaxUnconfirmed are short, so that claims expire and isolated
-// agents go stale within a run.
+// Retention and MaxUnconfirmed are short, so that claims expire and the
+// histories of isolated agents become stale within a run.
 const (
 	Retention      = 20 * time.Second
 	MaxUnconfirmed = 10 * time.Second
 )
 
-// ClaimScenario describes a service whose callers send non-idempotent requests
-// again through other agents while agents fail.
+// ClaimScenario describes a service whose callers resend non-idempotent
+// requests through other agents while agents fail.
 type ClaimScenario struct {
 	Agents   int
-	Capacity int // records of a store
+	Capacity int // maximum number of records in a store
 	Duration time.Duration
 	Settle   time.Duration // at the end, without new keys and faults
-	Keys     float64       // new keys a second, at most 100
-	Faults   float64       // a second, each single or a pair
+	Keys     float64       // new keys per second, at most 100
+	Faults   float64       // per second; each is one fault or two at once
 	Loss     float64       // fraction of messages that are lost, late or duplicated
-	Rolling  bool          // all first agents are replaced by planned restarts
-	// Connected leaves out the faults that cut agents off from the others.
+	Rolling  bool          // replaces all initial agents by planned restarts
+	// Connected disables the faults that isolate agents.
 	Connected bool
 }
 
-// ClaimResult holds the figures of one run. Violations must be empty.
+// ClaimResult holds the results of one run. A correct run has no violations.
 type ClaimResult struct {
 	Keys       int
-	Ran        int // keys that were handed over
-	Records    int // largest store
+	Ran        int // keys whose request was handed over to a backend server
+	Records    int // most records in one store at a time
 	Verdicts   map[claim.Verdict]int
 	Reasons    map[claim.Reason]int
-	Violations []string // second runs, wrong "not run" and wrong replays
+	Violations []string // requests that ran twice, wrong "not run" verdicts and wrong replays
 }
 
-// Claims runs the scenario.
+// Claims runs the scenario and checks every verdict.
 func Claims(scenario ClaimScenario, seed uint64) ClaimResult {
-	w := &claimWorld{
+	s := &claimSimulation{
 		random: rand.New(rand.NewPCG(seed, 0)), now: epoch, scenario: scenario,
-		events: make(map[time.Time][]func()), runs: make(map[claim.Key][]run),
+		events: make(map[time.Time][]func()), handOvers: make(map[claim.Key][]handOver),
 		result: ClaimResult{Verdicts: make(map[claim.Verdict]int), Reasons: make(map[claim.Reason]int)},
 	}
 
 	for range scenario.Agents {
-		w.start()
+		s.addAgent()
 	}
 
-	for _, n := range w.nodes {
-		n.history.Observe(w.now, w.position, slices.Clone(w.agents))
-		n.history.AssumeFirst(w.now)
-		n.history.Confirm(w.now)
+	for _, n := range s.nodes {
+		n.history.Observe(s.now, s.position, slices.Clone(s.agents))
+		n.history.AssumeFirst(s.now)
+		n.history.Confirm(s.now)
 	}
 
 	if scenario.Rolling {
-		w.roll(w.nodes)
+		s.rollingRestart(s.nodes)
 	}
 
-	w.advance(scenario.Duration, w.load)
-	w.advance(scenario.Settle, func() {})
+	s.advance(scenario.Duration, s.generateLoad)
+	s.advance(scenario.Settle, func() {})
 
-	w.result.Ran = len(w.runs)
+	s.result.Ran = len(s.handOvers)
 
-	return w.result
+	return s.result
 }
 
-// load sends new keys and causes faults.
-func (w *claimWorld) load() {
-	if w.random.Float64() < w.scenario.Keys*simulationStep.Seconds() {
-		w.result.Keys++
-		w.request(claim.Key{Service: 1, Token: fmt.Sprintf("key-%d", w.result.Keys)}, 4)
+// generateLoad sends new keys and injects faults at the configured rates.
+func (s *claimSimulation) generateLoad() {
+	if s.random.Float64() < s.scenario.Keys*simulationStep.Seconds() {
+		s.result.Keys++
+		s.request(claim.Key{Service: 1, Token: fmt.Sprintf("key-%d", s.result.Keys)}, 4)
 	}
 
-	if w.random.Float64() < w.scenario.Faults*simulationStep.Seconds() {
-		for range 1 + w.random.IntN(2) {
-			w.disturb()
+	if s.random.Float64() < s.scenario.Faults*simulationStep.Seconds() {
+		for range 1 + s.random.IntN(2) {
+			s.injectFault()
 		}
 	}
 }
 
-// disturb causes one fault.
-func (w *claimWorld) disturb() {
-	nodes := w.alive()
+// injectFault injects one random fault.
+func (s *claimSimulation) injectFault() {
+	nodes := s.liveNodes()
 	if len(nodes) < 3 {
-		w.join()
+		s.join()
 
 		return
 	}
 
-	switch fault := w.random.IntN(5); {
+	switch fault := s.random.IntN(5); {
 	case fault == 0:
-		w.kill(nodes[0])
+		s.kill(nodes[0])
 	case fault == 1:
-		w.drain(nodes[0])
-	case fault == 2 && !w.scenario.Connected:
-		w.isolate(1+w.random.IntN(len(nodes)-1), w.duration(time.Minute))
+		s.drain(nodes[0])
+	case fault == 2 && !s.scenario.Connected:
+		s.isolate(1+s.random.IntN(len(nodes)-1), s.randomDuration(time.Minute))
 	default:
-		w.join()
+		s.join()
 	}
 }
 
-// roll replaces the agents one after the other.
-func (w *claimWorld) roll(nodes []*claimNode) {
+// rollingRestart replaces the agents one after the other.
+func (s *claimSimulation) rollingRestart(nodes []*claimNode) {
 	if len(nodes) == 0 {
 		return
 	}
 
-	w.join()
-	w.after(3*time.Second, func() { w.drain(nodes[0]) })
-	w.after(8*time.Second, func() { w.roll(nodes[1:]) })
+	s.join()
+	s.scheduleAfter(3*time.Second, func() { s.drain(nodes[0]) })
+	s.scheduleAfter(8*time.Second, func() { s.rollingRestart(nodes[1:]) })
 }
 
-// violate records a broken promise.
-func (w *claimWorld) violate(format string, arguments ...any) {
-	w.result.Violations = append(w.result.Violations, fmt.Sprintf(format, arguments...))
+// recordViolation adds a violated guarantee to the result.
+func (s *claimSimulation) recordViolation(format string, arguments ...any) {
+	s.result.Violations = append(s.result.Violations, fmt.Sprintf(format, arguments...))
 }
--- a/internal/testing/measure/claims_test.go
+++ b/internal/testing/measure/claims_test.go
@@ -8,9 +8,9 @@
 	"jayspindle/internal/testing/measure"
 )
 
-// BenchmarkClaims reports broken promises and the fraction of keys that ran,
-// for services of both deployments, with a fault every 10 s. Figures are
-// medians over the seeds 1 to b.N.
+// BenchmarkClaims reports violations, the fraction of keys that ran and the
+// fraction of unknown verdicts, for services of both deployments, with a fault
+// every 10 s. Figures are medians over the seeds 1 to b.N.
 func BenchmarkClaims(b *testing.B) {
 	for name, agents := range map[string]int{"sheet-desk": 3, "cert-vault": 4, "crew-link": 7} {
 		b.Run(name, func(b *testing.B) {
@@ -32,9 +32,9 @@
 				violations = append(violations, float64(len(result.Violations)))
 			}
 
-			report(b, "ran", ran)
-			report(b, "unknown", unknown)
-			report(b, "violations", violations)
+			reportSummary(b, "ran", ran)
+			reportSummary(b, "unknown", unknown)
+			reportSummary(b, "violations", violations)
 		})
 	}
 }
--- a/internal/testing/measure/deployment.go
+++ b/internal/testing/measure/deployment.go
@@ -14,7 +14,7 @@
 	Load  float64       // ordinary arrivals as a fraction of the fleet's capacity
 }
 
-// Deployment is one service of a deployment with its work.
+// Deployment is one service of a deployment with its request classes.
 type Deployment struct {
 	Name    string
 	Service string
@@ -24,31 +24,31 @@
 }
 
 // Deployments returns the main service of both deployments of the design page.
-// Service times are assumptions of the scenario, chosen so that one bulk
-// request takes longer than the deadline of the urgent class in the tail.
+// Service times are assumptions: in the tail of the distribution, a single bulk
+// request takes longer than the deadline of the urgent class.
 func Deployments() []Deployment {
 	return []Deployment{
 		{
 			Name: "kitakyushu", Service: "crew-link", Agents: 7, Slots: 3,
 			Work: []Work{
-				work("hazard-alert", 0, true, 2*time.Second, 10, 40*time.Millisecond, 0.5, 0.05),
-				work("pass-report", 1, false, 5*time.Second, 20, 80*time.Millisecond, 0.5, 0.15),
-				work("position", 2, true, 2*time.Second, 10, 20*time.Millisecond, 0.5, 0.10),
-				work("route-sheet", 3, true, 30*time.Second, 15, 1500*time.Millisecond, 1, 0.30),
+				newWork("hazard-alert", 0, true, 2*time.Second, 10, 40*time.Millisecond, 0.5, 0.05),
+				newWork("pass-report", 1, false, 5*time.Second, 20, 80*time.Millisecond, 0.5, 0.15),
+				newWork("position", 2, true, 2*time.Second, 10, 20*time.Millisecond, 0.5, 0.10),
+				newWork("route-sheet", 3, true, 30*time.Second, 15, 1500*time.Millisecond, 1, 0.30),
 			},
 		},
 		{
 			Name: "magnolia", Service: "listing-desk", Agents: 7, Slots: 4,
 			Work: []Work{
-				work("label-verification", 0, false, time.Second, 20, 60*time.Millisecond, 0.5, 0.10),
-				work("listing", 1, true, 3*time.Second, 20, 30*time.Millisecond, 0.5, 0.15),
-				work("approval-certificate", 2, true, 30*time.Second, 20, 2500*time.Millisecond, 1, 0.35),
+				newWork("label-verification", 0, false, time.Second, 20, 60*time.Millisecond, 0.5, 0.10),
+				newWork("listing", 1, true, 3*time.Second, 20, 30*time.Millisecond, 0.5, 0.15),
+				newWork("approval-certificate", 2, true, 30*time.Second, 20, 2500*time.Millisecond, 1, 0.35),
 			},
 		},
 	}
 }
 
-func work(name string, urgency uint8, idempotent bool, deadline time.Duration, share uint8,
+func newWork(name string, urgency uint8, idempotent bool, deadline time.Duration, share uint8,
 	mean time.Duration, sigma, load float64,
 ) Work {
 	class := view.Class{
@@ -69,12 +69,13 @@
 	return classes
 }
 
-// rate returns the arrivals per second that use the fraction of the capacity.
-func (d Deployment) rate(w Work, fraction float64) float64 {
+// arrivalRate returns the arrivals per second of w that use the given fraction of
+// the capacity of all backend servers.
+func (d Deployment) arrivalRate(w Work, fraction float64) float64 {
 	return fraction * float64(d.Agents*d.Slots) / w.Mean.Seconds()
 }
 
-// Flooder selects the class that floods.
+// Flooder selects the class whose requests flood the service.
 type Flooder int
 
 // The flooding classes.
@@ -84,7 +85,7 @@
 	MostUrgent
 )
 
-// String returns the name used in tables.
+// String returns the name used in tables and benchmark names.
 func (f Flooder) String() string {
 	return [...]string{"none", "least-urgent", "most-urgent"}[f]
 }
--- a/internal/testing/measure/doc.go
+++ b/internal/testing/measure/doc.go
@@ -1,6 +1,7 @@
 // Package measure runs the scenarios behind the measures of the design page
-// with seeds and returns typed figures: broken flows, imbalance, floods,
-// non-idempotent requests, replies through a dead balancer and forwarding cost.
+// with given seeds and returns typed results: broken flows, imbalance, floods,
+// non-idempotent requests, replies after the loss of a balancer, and the cost
+// of forwarding.
 //
 // # Usage
 //
@@ -14,7 +15,7 @@
 //	})
 //	fmt.Println(result.BrokenByConnectionID, result.BrokenByModulo)
 //
-// All scenarios but Forwarding run in simulated time and depend only on their
-// seed. Policies are passed in, so that a report can compare the policy in use
-// with baselines.
+// All scenarios except Forwarding run in simulated time and depend only on
+// their seed. Policies are parameters, so that a report can compare the
+// production policy with baselines.
 package measure
--- a/internal/testing/measure/events.go
+++ b/internal/testing/measure/events.go
@@ -11,8 +11,8 @@
 // epoch is the simulated time at which every scenario starts.
 var epoch = time.Unix(1_000_000, 0)
 
-// event is something that happens at a simulated time. The sequence number
-// orders events of the same time, so that a seed always gives the same run.
+// event is a call scheduled for a simulated time. The sequence number orders
+// events with equal times, so that a seed always gives the same run.
 type event struct {
 	at       time.Time
 	sequence uint64
@@ -43,7 +43,7 @@
 	return last
 }
 
-// simulation runs events in the order of their simulated times.
+// simulation runs events in order of their simulated times.
 type simulation struct {
 	events   eventHeap
 	sequence uint64
@@ -55,8 +55,8 @@
 	return &simulation{now: epoch, end: epoch.Add(duration)}
 }
 
-// at schedules a call. Events after the end of the simulation are dropped.
-func (s *simulation) at(at time.Time, run func(now time.Time)) {
+// schedule schedules a call. Calls after the end of the simulation are dropped.
+func (s *simulation) schedule(at time.Time, run func(now time.Time)) {
 	if at.After(s.end) {
 		return
 	}
@@ -73,9 +73,9 @@
 	}
 }
 
-// arrivals schedules calls with exponentially distributed gaps at the rate per
-// second from the given time until the end.
-func (s *simulation) arrivals(random *rand.Rand, from time.Time, rate float64, run func(now time.Time)) {
+// scheduleArrivals schedules the calls of a Poisson process with the given rate
+// per second, from the given time until the end of the simulation.
+func (s *simulation) scheduleArrivals(random *rand.Rand, from time.Time, rate float64, run func(now time.Time)) {
 	if rate <= 0 {
 		return
 	}
@@ -83,7 +83,7 @@
 	var arrive func(now time.Time)
 
 	next := func(now time.Time) {
-		s.at(now.Add(seconds(random.ExpFloat64()/rate)), arrive)
+		s.schedule(now.Add(seconds(random.ExpFloat64()/rate)), arrive)
 	}
 
 	arrive = func(now time.Time) {
@@ -96,15 +96,15 @@
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// serviceTime draws from a log-normal distribution with the given mean and
+// drawServiceTime draws from a log-normal distribution with the given mean and
 // shape sigma. Shape 0 is constant; 1 has a long tail.
-func serviceTime(random *rand.Rand, mean time.Duration, sigma float64) time.Duration {
+func drawServiceTime(random *rand.Rand, mean time.Duration, sigma float64) time.Duration {
 	scale := math.Exp(sigma*random.NormFloat64() - sigma*sigma/2)
 
 	return max(time.Duration(float64(mean)*scale), time.Microsecond)
 }
 
-// Summary is the distribution of one figure over several seeds.
+// Summary summarizes the values of one figure over several seeds.
 type Summary struct {
 	Median, Lowest, Highest float64
 }
--- a/internal/testing/measure/executions_work.go
+++ b/internal/testing/measure/executions_work.go
@@ -7,44 +7,46 @@
 	"jayspindle/internal/coordination/claim"
 )
 
-// work lets every agent send the messages of its claims and act on decisions.
-func (r *executionRun) work(now time.Time) {
+// stepNodes lets every live agent send the messages of its claims and act on their
+// decisions.
+func (r *executionRun) stepNodes(now time.Time) {
 	for _, n := range r.nodes {
 		if n.dead {
 			continue
 		}
 
-		if !n.cutOff {
+		if !n.isolated {
 			n.history.Confirm(now)
 		}
 
-		n.claimants = slices.DeleteFunc(n.claimants, func(a *executionAttempt) bool { return a.judged && a.Done(now) })
+		n.attempts = slices.DeleteFunc(n.attempts, func(a *executionAttempt) bool { return a.handled && a.Done(now) })
 
-		for _, a := range n.claimants {
-			r.advance(now, n, a)
+		for _, a := range n.attempts {
+			r.stepAttempt(now, n, a)
 		}
 	}
 
-	r.at(now.Add(simulationStep), r.work)
+	r.schedule(now.Add(simulationStep), r.stepNodes)
 }
 
-func (r *executionRun) advance(now time.Time, n *executionNode, a *executionAttempt) {
+// stepAttempt sends the messages of one claim and acts on its decision.
+func (r *executionRun) stepAttempt(now time.Time, n *executionNode, a *executionAttempt) {
 	a.Tick(now)
 
 	for _, message := range a.Messages(now) {
 		to := r.nodes[message.To-1]
-		r.carry(now, n, to, func(now time.Time) {
+		r.sendMessage(now, n, to, func(now time.Time) {
 			reply := to.store.Handle(now, message.Request)
-			r.carry(now, to, n, func(now time.Time) { a.Reply(now, reply) })
+			r.sendMessage(now, to, n, func(now time.Time) { a.Reply(now, reply) })
 		})
 	}
 
 	verdict := a.Decision().Verdict
-	if a.judged || verdict == claim.Pending {
+	if a.handled || verdict == claim.Pending {
 		return
 	}
 
-	a.judged = true
+	a.handled = true
 
 	switch {
 	case verdict != claim.Run:
@@ -54,27 +56,27 @@
 	}
 }
 
-// carry takes a message from one agent to another, with loss and delay.
-func (r *executionRun) carry(now time.Time, from, to *executionNode, deliver func(now time.Time)) {
-	if r.lost() {
+// sendMessage delivers a message from one agent to another, with loss and delay.
+func (r *executionRun) sendMessage(now time.Time, from, to *executionNode, deliver func(now time.Time)) {
+	if r.isMessageLost() {
 		return
 	}
 
-	r.at(now.Add(siblingLatency+r.duration(simulationStep)), func(now time.Time) {
-		if !from.dead && !to.dead && (from == to || !from.cutOff && !to.cutOff) {
+	r.schedule(now.Add(siblingLatency+r.randomDuration(simulationStep)), func(now time.Time) {
+		if !from.dead && !to.dead && (from == to || !from.isolated && !to.isolated) {
 			deliver(now)
 		}
 	})
 }
 
-// count judges every request by the last answer its caller got.
-func (r *executionRun) count() ExecutionsResult {
+// countOutcomes classifies every request by the last answer that its caller got.
+func (r *executionRun) countOutcomes() ExecutionsResult {
 	result := ExecutionsResult{Requests: len(r.callers)}
 
 	for _, caller := range r.callers {
 		told := false
 
-		switch caller.last {
+		switch caller.lastVerdict {
 		case claim.Run, claim.Replay:
 			result.Answered++
 		case claim.NotRun:
--- a/internal/testing/measure/flood.go
+++ b/internal/testing/measure/flood.go
@@ -7,11 +7,11 @@
 	"jayspindle/internal/coordination/admission"
 )
 
-// floodFactor is the rate of a flood relative to the fleet's capacity.
+// floodFactor is the offered load of a flood as a multiple of the capacity.
 const floodFactor = 10
 
-// warmUp is the time before a flood starts. Figures count from the flood on.
-const warmUp = 10 * time.Second
+// floodWarmUp is the time before the flood starts. Only the flood is measured.
+const floodWarmUp = 10 * time.Second
 
 // Admitter is the part of an admission policy that a scenario uses.
 type Admitter interface {
@@ -22,7 +22,7 @@
 	Waiting() int
 }
 
-// Scenario is a flood on one deployment.
+// Scenario is a flood of one deployment.
 type Scenario struct {
 	Deployment Deployment
 	Flooder    Flooder
@@ -34,15 +34,15 @@
 	return Scenario{Deployment: d, Flooder: flooder, Duration: time.Minute}
 }
 
-// ClassResult holds the figures of one class during the flood.
+// ClassResult holds the results of one class during the flood.
 type ClassResult struct {
 	Offered   int
-	OnTime    int // answered within the deadline
-	Late      int // answered after the deadline
-	Refused   int // "not run"
-	SlotShare float64
+	OnTime    int           // answered within the deadline
+	Late      int           // answered after the deadline
+	Refused   int           // "not run"
+	SlotShare float64       // slot time received, as a fraction of the capacity
 	MinShare  float64       // as configured
-	Demand    float64       // work that arrived during the flood, as a fraction of the capacity
+	Demand    float64       // slot time that the arrivals need, as a fraction of the capacity
 	Slowest   time.Duration // longest time to an answer
 }
 
@@ -55,8 +55,8 @@
 	return float64(c.OnTime) / float64(c.Offered)
 }
 
-// ShareKept returns the received slot time relative to what the minimum share
-// promises: the configured share, or the demand if that is lower.
+// ShareKept returns the received slot time relative to the guaranteed slot time:
+// the configured minimum share, or the demand if that is lower.
 func (c ClassResult) ShareKept() float64 {
 	promised := min(c.MinShare, c.Demand)
 	if promised == 0 {
@@ -66,17 +66,18 @@
 	return c.SlotShare / promised
 }
 
-// FloodResult holds the figures of one run.
+// FloodResult holds the results of one run.
 type FloodResult struct {
 	Scenario   Scenario
 	Classes    map[string]*ClassResult
-	MaxWaiting int // longest queue of one backend server, all classes
-	Busy       float64
+	MaxWaiting int     // longest queue of one backend server, all classes
+	Busy       float64 // fraction of the slot time in use
 }
 
-// Class returns the figures of a class.
+// Class returns the results of a class.
 func (r FloodResult) Class(name string) ClassResult { return *r.Classes[name] }
 
+// floodRun is the state of a Flood run.
 type floodRun struct {
 	*simulation
 	scenario  Scenario
@@ -84,15 +85,15 @@
 	random    *rand.Rand
 	result    FloodResult
 	requests  map[uint64]*floodRequest
-	wakes     []time.Time
+	wakeTimes []time.Time
 	nextID    uint64
 }
 
 type floodRequest struct {
-	work    Work
-	agent   int
-	arrived time.Time
-	taken   time.Duration
+	work        Work
+	agent       int
+	arrived     time.Time
+	serviceTime time.Duration
 }
 
 // Flood runs the scenario with one admitter per backend server. Requests are
@@ -100,12 +101,12 @@
 func Flood(scenario Scenario, newAdmitter func(admission.Policy) Admitter, seed uint64) FloodResult {
 	d := scenario.Deployment
 	run := &floodRun{
-		simulation: newSimulation(warmUp + scenario.Duration),
+		simulation: newSimulation(floodWarmUp + scenario.Duration),
 		scenario:   scenario,
 		random:     rand.New(rand.NewPCG(seed, 1)),
 		result:     FloodResult{Scenario: scenario, Classes: make(map[string]*ClassResult)},
 		requests:   make(map[uint64]*floodRequest),
-		wakes:      make([]time.Time, d.Agents),
+		wakeTimes:  make([]time.Time, d.Agents),
 	}
 
 	policy := admission.Policy{Classes: d.Classes(), Slots: d.Slots, QueueLength: admission.DefaultQueueLength}
@@ -126,7 +127,8 @@
 	return run.result
 }
 
-// addClass schedules the ordinary arrivals of a class and its flood.
+// addClass schedules the ordinary arrivals of a class and, if it floods, those of
+// the flood.
 func (r *floodRun) addClass(i int, w Work, random *rand.Rand) {
 	d := r.scenario.Deployment
 	flood := (r.scenario.Flooder == LeastUrgent && i == len(d.Work)-1) || (r.scenario.Flooder == MostUrgent && i == 0)
@@ -135,22 +137,23 @@
 
 	arrive := func(now time.Time) {
 		r.offer(now, &floodRequest{
-			work: w, agent: random.IntN(d.Agents), arrived: now, taken: serviceTime(random, w.Mean, w.Sigma),
+			work: w, agent: random.IntN(d.Agents), arrived: now, serviceTime: drawServiceTime(random, w.Mean, w.Sigma),
 		})
 	}
 
-	r.arrivals(random, epoch, d.rate(w, w.Load), arrive)
+	r.scheduleArrivals(random, epoch, d.arrivalRate(w, w.Load), arrive)
 
 	if flood {
-		r.arrivals(random, epoch.Add(warmUp), d.rate(w, floodFactor), arrive)
+		r.scheduleArrivals(random, epoch.Add(floodWarmUp), d.arrivalRate(w, floodFactor), arrive)
 	}
 }
 
-func (r *floodRun) measured(request *floodRequest) bool {
-	counted := epoch.Add(warmUp)
+// isMeasured reports whether a request counts in the result.
+func (r *floodRun) isMeasured(request *floodRequest) bool {
+	floodStart := epoch.Add(floodWarmUp)
 
-	// A request whose deadline lies after the end cannot be judged.
-	return !request.arrived.Before(counted) && !request.arrived.Add(request.work.Class.Deadline).After(r.end)
+	// If the deadline lies after the end, on time and late cannot be told apart.
+	return !request.arrived.Before(floodStart) && !request.arrived.Add(request.work.Class.Deadline).After(r.end)
 }
 
 func (r *floodRun) offer(now time.Time, request *floodRequest) {
@@ -158,20 +161,22 @@
 	r.requests[r.nextID] = request
 
 	class := r.result.Classes[request.work.Class.Name]
-	if r.measured(request) {
+	if r.isMeasured(request) {
 		class.Offered++
 	}
 
-	if !now.Before(epoch.Add(warmUp)) {
-		class.Demand += min(request.taken, r.end.Sub(now)).Seconds() / r.capacity()
+	if !now.Before(epoch.Add(floodWarmUp)) {
+		class.Demand += min(request.serviceTime, r.end.Sub(now)).Seconds() / r.capacity()
 	}
 
 	admitter := r.admitters[request.agent]
 	r.apply(now, admitter.Offer(now, admission.Request{ID: r.nextID, Class: request.work.Class.Name}))
-	r.next(now, request.agent)
+	r.dispatch(now, request.agent)
 }
 
-func (r *floodRun) next(now time.Time, agent int) {
+// dispatch applies the decisions of an agent's admitter and schedules its next
+// wake-up.
+func (r *floodRun) dispatch(now time.Time, agent int) {
 	admitter := r.admitters[agent]
 	for _, decision := range admitter.Next(now) {
 		r.apply(now, decision)
@@ -180,12 +185,12 @@
 	r.result.MaxWaiting = max(r.result.MaxWaiting, admitter.Waiting())
 
 	wake, ok := admitter.Wake()
-	if !ok || (r.wakes[agent].After(now) && !wake.Before(r.wakes[agent])) {
+	if !ok || (r.wakeTimes[agent].After(now) && !wake.Before(r.wakeTimes[agent])) {
 		return
 	}
 
-	r.wakes[agent] = wake
-	r.at(wake, func(now time.Time) { r.next(now, agent) })
+	r.wakeTimes[agent] = wake
+	r.schedule(wake, func(now time.Time) { r.dispatch(now, agent) })
 }
 
 func (r *floodRun) apply(now time.Time, decision admission.Decision) {
@@ -193,26 +198,26 @@
 
 	switch decision.Action {
 	case admission.Run:
-		r.accountSlot(now, request)
-		r.at(now.Add(request.taken), func(now time.Time) { r.finish(now, decision.ID) })
+		r.addSlotTime(now, request)
+		r.schedule(now.Add(request.serviceTime), func(now time.Time) { r.finish(now, decision.ID) })
 	case admission.Refuse:
 		delete(r.requests, decision.ID)
 
-		if r.measured(request) {
+		if r.isMeasured(request) {
 			r.result.Classes[request.work.Class.Name].Refused++
 		}
 	case admission.Wait, admission.Abort, admission.Ignore:
 	}
 }
 
-// accountSlot counts the part of a slot's occupation that lies in the flood.
-func (r *floodRun) accountSlot(now time.Time, request *floodRequest) {
-	from := epoch.Add(warmUp)
+// addSlotTime adds the time that a request occupies its slot during the flood.
+func (r *floodRun) addSlotTime(now time.Time, request *floodRequest) {
+	from := epoch.Add(floodWarmUp)
 	if now.After(from) {
 		from = now
 	}
 
-	to := now.Add(request.taken)
+	to := now.Add(request.serviceTime)
 	if to.After(r.end) {
 		to = r.end
 	}
@@ -222,7 +227,8 @@
 	}
 }
 
-// capacity returns the slot time of the fleet during the flood, in seconds.
+// capacity returns the slot time of all backend servers during the flood, in
+// seconds.
 func (r *floodRun) capacity() float64 {
 	return r.scenario.Duration.Seconds() * float64(r.scenario.Deployment.Agents*r.scenario.Deployment.Slots)
 }
@@ -232,17 +238,17 @@
 	delete(r.requests, id)
 	r.admitters[request.agent].Finish(now, id, admission.Completed)
 
-	if r.measured(request) {
+	if r.isMeasured(request) {
 		class := r.result.Classes[request.work.Class.Name]
-		taken := now.Sub(request.arrived)
-		class.Slowest = max(class.Slowest, taken)
+		elapsed := now.Sub(request.arrived)
+		class.Slowest = max(class.Slowest, elapsed)
 
-		if taken <= request.work.Class.Deadline {
+		if elapsed <= request.work.Class.Deadline {
 			class.OnTime++
 		} else {
 			class.Late++
 		}
 	}
 
-	r.next(now, request.agent)
+	r.dispatch(now, request.agent)
 }
--- a/internal/testing/measure/flows.go
+++ b/internal/testing/measure/flows.go
@@ -12,140 +12,143 @@
 	"jayspindle/internal/state/view"
 )
 
-// FlowsConfig describes a run of planned changes while flows are open.
+// FlowsConfig describes a run in which planned changes occur while flows are
+// open.
 type FlowsConfig struct {
 	Seed      uint64
 	Balancers int
 	Services  int
 	Agents    int // in total
-	Flows     int // open at a time
+	Flows     int // number of flows kept open
 	Steps     int // of 500 ms, each with one planned change
-	Lag       int // steps that the view of an instance may be behind
+	Lag       int // maximum age of an instance's view in steps
 }
 
-// FlowsResult counts what happened to flows and datagrams. A flow is broken
-// when a packet of it reaches another agent than the one that accepted it.
+// FlowsResult counts flows and datagrams by outcome. A flow is broken when one
+// of its packets reaches an agent other than the one that accepted it.
 type FlowsResult struct {
 	Opened  int
-	Packets int // of established flows, from callers
+	Packets int // sent by callers on established flows
 
-	BrokenByConnectionID   int // the method of this system
-	BrokenByConsistentHash int // the same table, by the hash of the 4-tuple
+	BrokenByConnectionID   int // production method: routing by connection ID
+	BrokenByConsistentHash int // lookup of the 4-tuple hash in the same table
 	BrokenByModulo         int // hash of the 4-tuple modulo the number of agents
 
-	SplitFlights    int // Initial flights of two datagrams that reached two agents
-	RecoveredSplits int // of these, completed by a retransmission
-	UnfinishedSplit int // of these, neither completed nor failed at the end
-	FailedFlights   int // without an owner after the last retransmission
+	SplitFlights    int // Initial flights whose two datagrams reached two agents
+	RecoveredSplits int // split flights completed by a retransmission
+	UnfinishedSplit int // split flights neither completed nor failed at the end
+	FailedFlights   int // flights without an owner after the last retransmission
 	Retransmissions int // of whole flights
-	PacketsLost     int // to a balancer that does not yet know the flow's agent
+	PacketsLost     int // at a balancer that does not know the flow's agent yet
 	RepliesLost     int // sent to a balancer that has stopped
 
 	Injected     int // forged, replayed and misdirected datagrams
-	Refusals     int // of these, dropped or answered with a stale notice
+	Refusals     int // injected datagrams dropped or answered with a stale notice
 	WrongService int // datagrams delivered to another service
 }
 
 const (
-	flowsStep       = 500 * time.Millisecond
-	flowEndsPercent = 2 // of the flows in each step
+	flowsStep      = 500 * time.Millisecond
+	flowEndPercent = 2 // of the open flows, in each step
 )
 
 // retransmitSteps is the time between the transmissions of a flight, in steps:
 // about 0.7 s, doubled each time (RFC 9002, section 6.2), and 10 s in total.
 var retransmitSteps = [4]int{1, 3, 6, 11}
 
-// flow is an open flow and the agents that own it under each method.
+// flow is an open flow and the agent that owns it under each method.
 type flow struct {
 	service view.ServiceID
 	caller  netip.AddrPort
-	packet  []byte // of the established flow, with the connection ID of the agent
+	packet  []byte // short-header packet with the connection ID issued by the owner
 
-	owner, hashed, modulo   view.Incarnation
-	lost, lostHash, lostMod bool
+	owner, hashOwner, moduloOwner        view.Incarnation
+	broken, brokenByHash, brokenByModulo bool // counted as broken, or excluded from the count
 }
 
 // Flows runs one schedule of planned changes: agents join, drain and change
 // weight, balancers join and leave, fabric keys rotate and addresses are
-// reused, while every instance applies views at its own pace.
+// reused, while each instance applies views with a delay of its own.
 func Flows(config FlowsConfig) (FlowsResult, error) {
-	world := newFlowsWorld(config)
+	s := newFlowsSimulation(config)
 
 	for step := range config.Steps {
 		if step > 0 {
-			world.change()
+			s.performChange()
 		}
 
-		if err := world.advance(); err != nil {
+		if err := s.applyViews(); err != nil {
 			return FlowsResult{}, err
 		}
 
-		world.endFlows()
+		s.endFlows()
 
-		world.retransmit()
+		s.retransmit()
 
-		for len(world.flows)+len(world.flights) < config.Flows {
-			world.open()
+		for len(s.flows)+len(s.flights) < config.Flows {
+			s.openFlow()
 		}
 
-		for _, flow := range world.flows {
-			world.exchange(flow)
+		for _, flow := range s.flows {
+			s.exchange(flow)
 		}
 
-		world.inject()
+		s.inject()
 	}
 
-	for _, left := range world.flights {
-		if left.split {
-			world.result.UnfinishedSplit++
+	for _, unfinished := range s.flights {
+		if unfinished.split {
+			s.result.UnfinishedSplit++
 		}
 	}
 
-	return world.result, nil
+	return s.result, nil
 }
 
-// flight is an Initial flight of one or two datagrams that has no owner yet.
+// flight is an Initial flight of one or two datagrams that no agent has accepted
+// as a whole yet.
 type flight struct {
 	flow      *flow
 	packet    []byte
 	datagrams int
-	received  map[view.Incarnation]int // a bit for each datagram
+	received  map[view.Incarnation]int // bit mask of the datagrams that each agent received
 	split     bool
 	round     int
-	due       int // step
+	dueStep   int // step of the next transmission
 }
 
-// open starts the Initial flight of a flow.
-func (w *flowsWorld) open() {
-	service := w.services[w.random.IntN(len(w.services))].ID
+// openFlow sends the Initial flight of a new flow.
+func (s *flowsSimulation) openFlow() {
+	service := s.services[s.random.IntN(len(s.services))].ID
 	started := &flight{
-		flow:   &flow{service: service, caller: w.caller()},
-		packet: w.initial(), datagrams: 1 + w.random.IntN(2), received: make(map[view.Incarnation]int), due: w.step,
+		flow:   &flow{service: service, caller: s.newCaller()},
+		packet: s.initialPacket(), datagrams: 1 + s.random.IntN(2), received: make(map[view.Incarnation]int), dueStep: s.step,
 	}
 
-	if !w.attempt(started) {
-		w.flights = append(w.flights, started)
+	if !s.sendFlight(started) {
+		s.flights = append(s.flights, started)
 	}
 }
 
-// retransmit repeats the flights that are due.
-func (w *flowsWorld) retransmit() {
-	w.flights = slices.DeleteFunc(w.flights, func(f *flight) bool {
-		if f.due > w.step {
+// retransmit sends the flights whose retransmission is due.
+func (s *flowsSimulation) retransmit() {
+	s.flights = slices.DeleteFunc(s.flights, func(f *flight) bool {
+		if f.dueStep > s.step {
 			return false
 		}
 
-		w.result.Retransmissions++
+		s.result.Retransmissions++
 
-		return w.attempt(f)
+		return s.sendFlight(f)
 	})
 }
 
-// attempt sends a flight as a whole. Agents do not answer half a ClientHello.
-// It reports true when the flight is over.
-func (w *flowsWorld) attempt(f *flight) bool {
+// sendFlight sends all datagrams of a flight and reports whether the flight has
+// completed or failed. Only an agent that received every datagram can answer,
+// since the ClientHello spans them.
+func (s *flowsSimulation) sendFlight(f *flight) bool {
 	for i := range f.datagrams {
-		agent := w.sendFirst(f.flow, f.packet)
+		agent := s.sendInitial(f.flow, f.packet)
 		if agent == nil {
 			continue
 		}
@@ -158,86 +161,86 @@
 
 	if f.round == 0 && len(f.received) > 1 {
 		f.split = true
-		w.result.SplitFlights++
+		s.result.SplitFlights++
 	}
 
 	switch {
 	case f.flow.owner != 0:
 		if f.split {
-			w.result.RecoveredSplits++
+			s.result.RecoveredSplits++
 		}
 
-		w.establish(f.flow)
+		s.establish(f.flow)
 
 		return true
 	case f.round == len(retransmitSteps):
-		w.result.FailedFlights++
+		s.result.FailedFlights++
 
 		return true
 	default:
-		f.due = w.step + retransmitSteps[f.round]
+		f.dueStep = s.step + retransmitSteps[f.round]
 		f.round++
 
 		return false
 	}
 }
 
-// establish gives the flow its connection ID and its owners under the methods
-// that are compared.
-func (w *flowsWorld) establish(opened *flow) {
-	owner := w.agents[opened.owner]
+// establish assigns the flow its connection ID and its owner under each of the
+// compared methods.
+func (s *flowsSimulation) establish(opened *flow) {
+	owner := s.agents[opened.owner]
 
-	// The generator's function never fails.
+	// The generator never returns an error.
 	id, _ := owner.generator.GenerateConnectionID()
 	opened.packet = append([]byte{shortHeader}, id.Bytes()...)
 	opened.packet = append(opened.packet, make([]byte, 20)...)
 
-	current := w.pickBalancer().table()
-	opened.hashed, _ = current.Owner(opened.service, tupleHash(opened))
-	opened.modulo = moduloOwner(current.View(), opened)
+	current := s.pickBalancer().table()
+	opened.hashOwner, _ = current.Owner(opened.service, tupleHash(opened))
+	opened.moduloOwner = moduloOwner(current.View(), opened)
 
-	w.flows = append(w.flows, opened)
-	w.result.Opened++
+	s.flows = append(s.flows, opened)
+	s.result.Opened++
 }
 
 // exchange sends one packet of an established flow and a reply to it.
-func (w *flowsWorld) exchange(f *flow) {
-	w.result.Packets++
+func (s *flowsSimulation) exchange(f *flow) {
+	s.result.Packets++
 
-	balancer := w.pickBalancer()
-	w.compare(balancer.table(), f)
+	balancer := s.pickBalancer()
+	s.compareMethods(balancer.table(), f)
 
-	decision := balancer.worker.FromCaller(w.now, f.service, f.packet, f.caller)
+	decision := balancer.worker.FromCaller(s.now, f.service, f.packet, f.caller)
 	if decision.Action != forward.Send {
-		w.result.PacketsLost++
+		s.result.PacketsLost++
 
 		return
 	}
 
-	agent := w.deliver(balancer, decision)
+	agent := s.deliver(balancer, decision)
 	if agent == nil || agent.incarnation != f.owner {
-		w.result.BrokenByConnectionID += once(&f.lost)
+		s.result.BrokenByConnectionID += countOnce(&f.broken)
 
 		return
 	}
 
-	w.reply(agent, f)
+	s.reply(agent, f)
 }
 
-// compare counts the flow as broken under a method when the balancer's view
-// leads its packet to another agent.
-func (w *flowsWorld) compare(table *routing.Table, f *flow) {
-	if owner, _ := table.Owner(f.service, tupleHash(f)); owner != f.hashed {
-		w.result.BrokenByConsistentHash += once(&f.lostHash)
+// compareMethods counts the flow as broken under a baseline method if that
+// method, with the balancer's view, no longer selects the owner of the flow.
+func (s *flowsSimulation) compareMethods(table *routing.Table, f *flow) {
+	if owner, _ := table.Owner(f.service, tupleHash(f)); owner != f.hashOwner {
+		s.result.BrokenByConsistentHash += countOnce(&f.brokenByHash)
 	}
 
-	if moduloOwner(table.View(), f) != f.modulo {
-		w.result.BrokenByModulo += once(&f.lostMod)
+	if moduloOwner(table.View(), f) != f.moduloOwner {
+		s.result.BrokenByModulo += countOnce(&f.brokenByModulo)
 	}
 }
 
-// once returns 1 the first time it is called for a flag.
-func once(flag *bool) int {
+// countOnce sets the flag and returns 1, or returns 0 if the flag was set already.
+func countOnce(flag *bool) int {
 	if *flag {
 		return 0
 	}
@@ -247,7 +250,8 @@
 	return 1
 }
 
-// tupleHash hashes the 4-tuple; the service stands for its address.
+// tupleHash hashes the 4-tuple. The service ID stands for the destination address
+// and port.
 func tupleHash(f *flow) uint64 {
 	bytes := make([]byte, 0, 24)
 	address := f.caller.Addr().As16()
@@ -258,7 +262,8 @@
 	return routing.Hash(bytes)
 }
 
-// moduloOwner is the agent at the hash modulo the number of eligible agents.
+// moduloOwner returns the eligible agent at the index given by the hash modulo
+// the number of eligible agents.
 func moduloOwner(current *view.View, f *flow) view.Incarnation {
 	var eligible []view.Incarnation
 
@@ -279,5 +284,5 @@
 	shortHeader   = 0x40
 	longHeader    = 0xc0
 	initialLength = 1200
-	dcidLength    = connid.Length + 1 // differs from the length of an agent's
+	dcidLength    = connid.Length + 1 // differs from the length of the connection IDs that agents issue
 )
--- a/internal/testing/measure/flows_test.go
+++ b/internal/testing/measure/flows_test.go
@@ -10,7 +10,8 @@
 	"jayspindle/internal/testing/soak"
 )
 
-// assertFlows checks what must hold for every schedule of planned changes.
+// assertFlows runs a schedule of planned changes and checks what holds for all
+// schedules.
 func assertFlows(t *testing.T, config measure.FlowsConfig) measure.FlowsResult {
 	t.Helper()
 
@@ -21,13 +22,13 @@
 	is.New(t).Equal(got.RepliesLost, 0)
 	is.New(t).Equal(got.FailedFlights, 0)
 	is.New(t).Equal(got.RecoveredSplits+got.UnfinishedSplit, got.SplitFlights)
-	is.New(t).True(got.PacketsLost*100 <= got.Packets) // a balancer with an old view, until it catches up
+	is.New(t).True(got.PacketsLost*100 <= got.Packets) // at balancers that have not applied the latest view yet
 
 	return got
 }
 
-// Guards against planned changes that break flows, against deliveries to a
-// wrong service, and against split Initial flights that never complete.
+// Guards against planned changes that break flows, deliveries to a wrong service
+// and split Initial flights that never complete.
 func TestFlowsSmall(t *testing.T) {
 	soak.Run(t, 8, func(t *testing.T, seed uint64) {
 		assertFlows(t, measure.FlowsConfig{
@@ -36,8 +37,8 @@
 	})
 }
 
-// Guards against the same at a size where views differ more, and against a
-// schedule that is too easy to show a difference between the methods.
+// Guards against the same failures with more instances, whose views differ more.
+// Also checks that the schedule breaks flows under the baseline methods.
 func TestFlowsLarge(t *testing.T) {
 	soak.Run(t, 1, func(t *testing.T, seed uint64) {
 		got := assertFlows(t, measure.FlowsConfig{
@@ -51,8 +52,8 @@
 	})
 }
 
-// Guards against feeds that hang on a balancer that has stopped: the next
-// retransmission has to take another way.
+// Guards against feeds that stall after a balancer has stopped: a retransmission
+// has to go through another balancer.
 func TestReplies(t *testing.T) {
 	soak.Run(t, 3, func(t *testing.T, seed uint64) {
 		config := measure.RepliesConfig{Seed: seed, Balancers: 8, Flows: 300, Duration: 30 * time.Second}
--- a/internal/testing/measure/flows_traffic.go
+++ b/internal/testing/measure/flows_traffic.go
@@ -9,66 +9,68 @@
 	"jayspindle/internal/state/view"
 )
 
-// sendFirst sends one datagram of an Initial flight and returns the agent that
+// sendInitial sends one datagram of an Initial flight and returns the agent that
 // accepted it, or nil.
-func (w *flowsWorld) sendFirst(opened *flow, packet []byte) *flowsAgent {
-	balancer := w.pickBalancer()
+func (s *flowsSimulation) sendInitial(opened *flow, packet []byte) *flowsAgent {
+	balancer := s.pickBalancer()
 
-	decision := balancer.worker.FromCaller(w.now, opened.service, packet, opened.caller)
+	decision := balancer.worker.FromCaller(s.now, opened.service, packet, opened.caller)
 	if decision.Action != forward.Send {
 		return nil
 	}
 
-	return w.deliver(balancer, decision)
+	return s.deliver(balancer, decision)
 }
 
-func (w *flowsWorld) balancerAt(address netip.AddrPort) *flowsBalancer {
-	place := slices.IndexFunc(w.balancers, func(b *flowsBalancer) bool { return b.address == address })
-	if place < 0 {
+// balancerAt returns the balancer with the address, or nil.
+func (s *flowsSimulation) balancerAt(address netip.AddrPort) *flowsBalancer {
+	index := slices.IndexFunc(s.balancers, func(b *flowsBalancer) bool { return b.address == address })
+	if index < 0 {
 		return nil
 	}
 
-	return w.balancers[place]
+	return s.balancers[index]
 }
 
-// deliver carries a datagram to the agent at its address and returns the agent
-// if it accepted it. A refused socket and a stale notice reach the balancer.
-func (w *flowsWorld) deliver(balancer *flowsBalancer, decision forward.Decision) *flowsAgent {
+// deliver passes a datagram to the agent at its destination address and returns
+// the agent, or nil if the datagram was not accepted. The balancer is told when
+// no agent has the address, and receives stale notices.
+func (s *flowsSimulation) deliver(balancer *flowsBalancer, decision forward.Decision) *flowsAgent {
 	sent := balancer.seal(decision, []byte("payload"))
-	w.captured, w.capturedFor = sent, decision.Header.Service
+	s.capturedDatagram, s.capturedService = sent, decision.Header.Service
 
-	agent := w.byAddress[decision.To]
+	agent := s.byAddress[decision.To]
 	if agent == nil {
-		balancer.core.Refused(w.now, decision.To)
+		balancer.core.Refused(s.now, decision.To)
 
 		return nil
 	}
 
-	if w.receive(agent, sent, balancer.address, decision.Header.Service).Action != forward.Deliver {
+	if s.receive(agent, sent, balancer.address, decision.Header.Service).Action != forward.Deliver {
 		return nil
 	}
 
 	return agent
 }
 
-// receive passes a datagram of a service to an agent and counts deliveries to
-// another service.
-func (w *flowsWorld) receive(
+// receive passes a datagram of a service to an agent and counts it if the agent
+// delivers it to another service.
+func (s *flowsSimulation) receive(
 	agent *flowsAgent, sent []byte, source netip.AddrPort, service view.ServiceID,
 ) forward.Decision {
-	decision := agent.core.Receive(w.now, sent, source)
+	decision := agent.core.Receive(s.now, sent, source)
 
 	switch decision.Action {
 	case forward.Deliver:
 		if agent.service != service {
-			w.result.WrongService++
+			s.result.WrongService++
 		}
 	case forward.Answer:
 		notice := make([]byte, datagram.HeaderLength)
 		agent.core.Seal(notice, &decision.Header)
 
-		if balancer := w.balancerAt(decision.To); balancer != nil {
-			balancer.worker.FromAgent(w.now, notice, agent.address)
+		if balancer := s.balancerAt(decision.To); balancer != nil {
+			balancer.worker.FromAgent(s.now, notice, agent.address)
 		}
 	}
 
@@ -76,12 +78,12 @@
 }
 
 // reply sends a reply of an agent through the balancer that it selects.
-func (w *flowsWorld) reply(agent *flowsAgent, f *flow) {
-	header, to, ok := agent.core.Reply(w.now, f.caller)
+func (s *flowsSimulation) reply(agent *flowsAgent, f *flow) {
+	header, to, ok := agent.core.Reply(s.now, f.caller)
 
-	balancer := w.balancerAt(to)
+	balancer := s.balancerAt(to)
 	if !ok || balancer == nil {
-		w.result.RepliesLost++
+		s.result.RepliesLost++
 
 		return
 	}
@@ -90,68 +92,70 @@
 	agent.core.Seal(sent, &header)
 	sent = append(sent, "reply"...)
 
-	decision := balancer.worker.FromAgent(w.now, sent, agent.address)
+	decision := balancer.worker.FromAgent(s.now, sent, agent.address)
 	if decision.Action != forward.Deliver {
-		w.result.RepliesLost++
+		s.result.RepliesLost++
 
 		return
 	}
 
 	if decision.Header.Service != f.service || decision.Header.Caller != f.caller {
-		w.result.WrongService++
+		s.result.WrongService++
 	}
 }
 
 // inject sends datagrams that must not be delivered to a wrong service: with a
-// connection ID of another service, a forged one, a replayed header, a forged
-// header, and a header for the former agent of an address.
-func (w *flowsWorld) inject() {
+// connection ID of another service, a forged connection ID, a replayed header, a
+// forged header, and a header for an agent that formerly had the address.
+func (s *flowsSimulation) inject() {
 	for range 4 {
-		w.injectConnectionID(false)
-		w.injectConnectionID(true)
+		s.injectConnectionID(false)
+		s.injectConnectionID(true)
 
-		for _, agent := range w.order {
-			w.injectHeader(agent, w.captured)
+		for _, agent := range s.agentsInOrder {
+			s.injectHeader(agent, s.capturedDatagram)
 
-			forged := slices.Clone(w.captured)
-			forged[w.random.IntN(datagram.HeaderLength)] ^= 1 << w.random.IntN(8)
-			w.injectHeader(agent, forged)
+			forged := slices.Clone(s.capturedDatagram)
+			forged[s.random.IntN(datagram.HeaderLength)] ^= 1 << s.random.IntN(8)
+			s.injectHeader(agent, forged)
 		}
 	}
 }
 
-// injectConnectionID sends a packet of a flow to the socket of another service.
-func (w *flowsWorld) injectConnectionID(forged bool) {
-	victim := w.flows[w.random.IntN(len(w.flows))]
+// injectConnectionID sends a packet of an open flow, with its connection ID
+// altered if forged is set, to the socket of another service.
+func (s *flowsSimulation) injectConnectionID(forged bool) {
+	victim := s.flows[s.random.IntN(len(s.flows))]
 	packet := slices.Clone(victim.packet)
 
 	if forged {
-		packet[2+w.random.IntN(16)] ^= 1 << w.random.IntN(8)
+		packet[2+s.random.IntN(16)] ^= 1 << s.random.IntN(8)
 	}
 
-	balancer := w.pickBalancer()
-	other := view.ServiceID(1 + int(victim.service)%len(w.services))
+	balancer := s.pickBalancer()
+	other := view.ServiceID(1 + int(victim.service)%len(s.services))
 
-	w.result.Injected++
+	s.result.Injected++
 
-	decision := balancer.worker.FromCaller(w.now, other, packet, victim.caller)
+	decision := balancer.worker.FromCaller(s.now, other, packet, victim.caller)
 	if decision.Action != forward.Send {
-		w.result.Refusals++
+		s.result.Refusals++
 
 		return
 	}
 
-	if agent := w.deliver(balancer, decision); agent != nil && agent.service == victim.service {
-		w.result.WrongService++
+	if agent := s.deliver(balancer, decision); agent != nil && agent.service == victim.service {
+		s.result.WrongService++
 	}
 }
 
-// injectHeader sends a captured datagram to an agent that it may not be for.
-// A replay to its own agent is delivered; QUIC discards it as a duplicate.
-func (w *flowsWorld) injectHeader(agent *flowsAgent, sent []byte) {
-	w.result.Injected++
+// injectHeader sends a captured or forged datagram to an agent, which may not be
+// its destination. A replay to the destination itself is delivered; QUIC discards
+// it as a duplicate.
+func (s *flowsSimulation) injectHeader(agent *flowsAgent, sent []byte) {
+	s.result.Injected++
 
-	if w.receive(agent, sent, w.balancers[0].address, w.capturedFor).Action != forward.Deliver {
-		w.result.Refusals++
+	if s.receive(agent, sent, s.balancers[0].address, s.capturedService).Action != forward.Deliver {
+		s.result.Refusals++
 	}
 }
--- a/internal/testing/measure/forwarding.go
+++ b/internal/testing/measure/forwarding.go
@@ -13,55 +13,55 @@
 	"jayspindle/internal/transport/udp"
 )
 
-// ForwardingConfig describes a run of datagrams of established flows over
-// loopback. It is the only scenario in real time.
+// ForwardingConfig describes a run that forwards datagrams of established flows
+// over loopback. It is the only scenario in real time.
 type ForwardingConfig struct {
 	Services int
 	Agents   int // in total
-	Batches  int // of each kind; they take turns
+	Batches  int // of each kind, alternating
 }
 
-// ForwardingResult holds the cost of a datagram from its arrival to the end of
-// the call that sends it on.
+// ForwardingResult holds the cost per datagram, from its arrival until the call
+// that forwards it returns.
 type ForwardingResult struct {
-	Bare        float64 // of a bare batched receive-and-send loop, in ns
-	Path        float64 // of the path of a balancer, in ns
+	Bare        float64 // of a bare loop that receives and sends batches, in ns
+	Path        float64 // of the forwarding path of a balancer, in ns
 	Allocations float64 // per datagram of the whole run
-	Dropped     int     // datagrams that the path did not send on; 0 in a valid run
+	Dropped     int     // datagrams that the balancer's path did not forward; 0 in a valid run
 }
 
 const (
-	forwardBatch   = 64
-	forwardPayload = 1200
-	forwardWarmUp  = 64 // batches of both kinds together
+	forwardBatchSize     = 64
+	forwardPayloadBytes  = 1200
+	forwardWarmUpBatches = 64 // of both kinds together
 
-	// forwardFlows is the number of established flows, each with a packet of its own.
-	forwardFlows = 4096
+	// forwardFlowCount is the number of established flows; each has its own packet.
+	forwardFlowCount = 4096
 	// agentStride is a prime, so that consecutive packets go to agents far apart
 	// in the tables.
 	agentStride = 7919
 )
 
-// forwardRun takes turns between bare forwarding and the path of a balancer,
-// so that both meet the same conditions.
+// forwardRun alternates between batches of the bare loop (even indexes) and of the
+// path of a balancer (odd indexes), so that both run under the same conditions.
 type forwardRun struct {
-	worker        *forward.Worker
-	in, out, feed *udp.Socket
-	sink          netip.AddrPort
-	outbox        *udp.Outbox
-	feeder        *udp.Outbox
-	packets       [][]byte
-	turn, turns   int
-	began         time.Time
-	spent         [2]time.Duration
-	count         [2]int
-	dropped       int
-	before        runtime.MemStats
-	after         runtime.MemStats
+	worker                *forward.Worker
+	in, out, feed         *udp.Socket
+	sink                  netip.AddrPort
+	outbox                *udp.Outbox
+	feeder                *udp.Outbox
+	packets               [][]byte
+	batchIndex, lastBatch int
+	startedAt             time.Time
+	elapsed               [2]time.Duration
+	forwarded             [2]int
+	dropped               int
+	memoryBefore          runtime.MemStats
+	memoryAfter           runtime.MemStats
 }
 
-// Forwarding measures the cost of forwarding. The sink is not read: its full
-// buffer makes sending cheaper for both kinds.
+// Forwarding measures the cost of forwarding. Nothing reads from the sink socket:
+// its full receive buffer makes sending cheaper for both kinds.
 func Forwarding(config ForwardingConfig) (ForwardingResult, error) {
 	sockets := make([]*udp.Socket, 0, 4)
 	for range 4 {
@@ -76,35 +76,35 @@
 
 	r := &forwardRun{
 		in: sockets[0], out: sockets[1], feed: sockets[2], sink: sockets[3].Address(),
-		outbox: udp.NewOutbox(forwardBatch), feeder: udp.NewOutbox(forwardBatch),
-		turns: forwardWarmUp + 2*config.Batches,
+		outbox: udp.NewOutbox(forwardBatchSize), feeder: udp.NewOutbox(forwardBatchSize),
+		lastBatch: forwardWarmUpBatches + 2*config.Batches,
 	}
-	if err := r.fill(config); err != nil {
+	if err := r.prepare(config); err != nil {
 		return ForwardingResult{}, err
 	}
 
-	pool := udp.NewPool(1, udp.BatchConfig{Size: forwardBatch, Length: 1500, Headroom: datagram.HeaderLength})
+	pool := udp.NewPool(1, udp.BatchConfig{Size: forwardBatchSize, Length: 1500, Headroom: datagram.HeaderLength})
 
-	r.next()
+	r.sendBatch()
 
 	if err := r.in.Serve(pool, r.serve); err != nil {
 		return ForwardingResult{}, err
 	}
 
-	datagrams := float64(r.count[0] + r.count[1])
+	datagrams := float64(r.forwarded[0] + r.forwarded[1])
 
 	return ForwardingResult{
-		Bare:        float64(r.spent[0].Nanoseconds()) / float64(max(r.count[0], 1)),
-		Path:        float64(r.spent[1].Nanoseconds()) / float64(max(r.count[1], 1)),
-		Allocations: float64(r.after.Mallocs-r.before.Mallocs) / max(datagrams, 1),
+		Bare:        float64(r.elapsed[0].Nanoseconds()) / float64(max(r.forwarded[0], 1)),
+		Path:        float64(r.elapsed[1].Nanoseconds()) / float64(max(r.forwarded[1], 1)),
+		Allocations: float64(r.memoryAfter.Mallocs-r.memoryBefore.Mallocs) / max(datagrams, 1),
 		Dropped:     r.dropped,
 	}, nil
 }
 
-// fill prepares the view and packets of established flows to different agents.
-// The last two bytes of each packet name its service, in place of a socket for
-// each service.
-func (r *forwardRun) fill(config ForwardingConfig) error {
+// prepare creates the view, the balancer's worker and the packets of established
+// flows to different agents. The last two bytes of each packet hold its service
+// ID, instead of a separate socket per service.
+func (r *forwardRun) prepare(config ForwardingConfig) error {
 	contents := view.Contents{Position: view.Position{Index: 1}, Keys: []view.Key{{ID: 1, Secret: [32]byte{1}}}}
 	for i := range config.Services {
 		contents.Services = append(contents.Services, view.Service{ID: view.ServiceID(i + 1), Buckets: defaultBuckets})
@@ -128,52 +128,54 @@
 	}
 
 	r.worker = balancer.Worker()
-	r.packets = make([][]byte, forwardFlows)
+	r.packets = make([][]byte, forwardFlowCount)
 
 	for i := range r.packets {
 		agent := i * agentStride % config.Agents
 		service := view.ServiceID(agent%config.Services + 1)
-		packet := make([]byte, forwardPayload)
+		packet := make([]byte, forwardPayloadBytes)
 		packet[0] = shortHeader
 		ids.Seal(packet[1:], service, view.Incarnation(agent+1), uint64(i))
-		binary.BigEndian.PutUint16(packet[forwardPayload-2:], uint16(service))
+		binary.BigEndian.PutUint16(packet[forwardPayloadBytes-2:], uint16(service))
 		r.packets[i] = packet
 	}
 
 	return nil
 }
 
-// next sends the datagrams of the next turn to the loop.
-func (r *forwardRun) next() {
-	for i := range forwardBatch {
-		r.feeder.Add(r.feed, r.packets[(r.turn*forwardBatch+i)%len(r.packets)], r.in.Address())
+// sendBatch sends the next batch of datagrams to the loop.
+func (r *forwardRun) sendBatch() {
+	for i := range forwardBatchSize {
+		r.feeder.Add(r.feed, r.packets[(r.batchIndex*forwardBatchSize+i)%len(r.packets)], r.in.Address())
 	}
 
 	r.feeder.Flush()
-	r.began = time.Now()
+	r.startedAt = time.Now()
 }
 
-// serve handles a batch and starts the next turn until the last is over.
+// serve forwards a batch and sends the next one until the last is done. Counters
+// are reset after the warm-up.
 func (r *forwardRun) serve(batch *udp.Batch) {
 	r.forward(batch)
 
-	switch r.turn {
-	case forwardWarmUp:
-		r.spent, r.count = [2]time.Duration{}, [2]int{}
-		runtime.ReadMemStats(&r.before)
-	case r.turns:
-		runtime.ReadMemStats(&r.after)
+	switch r.batchIndex {
+	case forwardWarmUpBatches:
+		r.elapsed, r.forwarded = [2]time.Duration{}, [2]int{}
+		runtime.ReadMemStats(&r.memoryBefore)
+	case r.lastBatch:
+		runtime.ReadMemStats(&r.memoryAfter)
 
 		_ = r.in.Stop()
 
 		return
 	}
 
-	r.next()
+	r.sendBatch()
 }
 
+// forward forwards a received batch in the way of its kind and adds to the cost.
 func (r *forwardRun) forward(batch *udp.Batch) {
-	kind := r.turn % 2
+	kind := r.batchIndex % 2
 
 	for i := range batch.Len() {
 		if kind == 0 {
@@ -185,7 +187,7 @@
 		payload := batch.Payload(i)
 		service := view.ServiceID(binary.BigEndian.Uint16(payload[len(payload)-2:]))
 
-		decision := r.worker.FromCaller(r.began, service, payload, batch.Source(i))
+		decision := r.worker.FromCaller(r.startedAt, service, payload, batch.Source(i))
 		if decision.Action != forward.Send {
 			r.dropped++
 
@@ -199,7 +201,7 @@
 
 	r.outbox.Flush()
 
-	r.spent[kind] += time.Since(r.began)
-	r.count[kind] += batch.Len()
-	r.turn++
+	r.elapsed[kind] += time.Since(r.startedAt)
+	r.forwarded[kind] += batch.Len()
+	r.batchIndex++
 }
--- a/internal/testing/measure/loss.go
+++ b/internal/testing/measure/loss.go
@@ -2,31 +2,31 @@
 
 import "slices"
 
-// leaseSteps is the time from the loss of an agent until the view changes, in
-// steps: the TTL of a lease, 3 s.
-const leaseSteps = 6
+// leaseTTLSteps is the time from the loss of an agent until it leaves the view,
+// in steps: the lease TTL of 3 s.
+const leaseTTLSteps = 6
 
-// Survivors counts the flows of the agents that are not lost under one method.
-// A flow is broken when a packet of it no longer reaches its owner.
+// Survivors counts the flows that the remaining agents own under one method. A
+// flow is broken when one of its packets no longer reaches its owner.
 type Survivors struct {
 	Flows, Broken int
 }
 
-// LossResult counts flows when one agent is lost without notice.
+// LossResult counts flows in a run in which one agent fails without notice.
 type LossResult struct {
-	Held int // flows of the lost agent; these end
+	Held int // flows of the lost agent, which end with it
 
-	// By method, as in FlowsResult. Each counts the flows that the lost agent
-	// does not own under that method.
+	// By method, as in FlowsResult, without the flows that the lost agent owns
+	// under that method.
 	ByConnectionID   Survivors
 	ByConsistentHash Survivors
 	ByModulo         Survivors
 }
 
-// AgentLoss opens flows, removes one agent silently at a third of the run and
-// takes it out of the view when its lease has run out. No flow ends otherwise.
+// AgentLoss opens flows, stops one agent without notice after a third of the run
+// and removes it from the view when its lease expires. No other flows end.
 func AgentLoss(config FlowsConfig) (LossResult, error) {
-	w := newFlowsWorld(config)
+	s := newFlowsSimulation(config)
 	lossAt := config.Steps / 3
 
 	var (
@@ -36,68 +36,68 @@
 
 	for step := range config.Steps {
 		if step > 0 {
-			w.tick()
+			s.skipChange()
 		}
 
 		switch step {
 		case lossAt:
-			victim = w.order[w.random.IntN(len(w.order))]
-			result = w.lose(victim)
-		case lossAt + leaseSteps:
-			w.forget(victim)
+			victim = s.agentsInOrder[s.random.IntN(len(s.agentsInOrder))]
+			result = s.loseAgent(victim)
+		case lossAt + leaseTTLSteps:
+			s.removeFromView(victim)
 		}
 
-		if err := w.advance(); err != nil {
+		if err := s.applyViews(); err != nil {
 			return LossResult{}, err
 		}
 
-		w.retransmit()
+		s.retransmit()
 
-		for step < lossAt && len(w.flows)+len(w.flights) < config.Flows {
-			w.open()
+		for step < lossAt && len(s.flows)+len(s.flights) < config.Flows {
+			s.openFlow()
 		}
 
-		for _, flow := range w.flows {
-			w.exchange(flow)
+		for _, flow := range s.flows {
+			s.exchange(flow)
 		}
 	}
 
-	result.ByConnectionID.Broken = w.result.BrokenByConnectionID
-	result.ByConsistentHash.Broken = w.result.BrokenByConsistentHash
-	result.ByModulo.Broken = w.result.BrokenByModulo
+	result.ByConnectionID.Broken = s.result.BrokenByConnectionID
+	result.ByConsistentHash.Broken = s.result.BrokenByConsistentHash
+	result.ByModulo.Broken = s.result.BrokenByModulo
 
 	return result, nil
 }
 
-// tick moves the time without a change.
-func (w *flowsWorld) tick() {
-	w.step++
-	w.now = w.now.Add(flowsStep)
+// skipChange starts the next step without a planned change.
+func (s *flowsSimulation) skipChange() {
+	s.step++
+	s.now = s.now.Add(flowsStep)
 }
 
-// lose ends an agent and its flows. Flows that it owns under a method that is
-// compared are marked as lost, so that they do not count as broken.
-func (w *flowsWorld) lose(victim *flowsAgent) LossResult {
+// loseAgent removes an agent and its flows. Flows that the agent owns under a
+// baseline method are excluded from that method's count of broken flows.
+func (s *flowsSimulation) loseAgent(victim *flowsAgent) LossResult {
 	var result LossResult
 
-	before := len(w.flows)
-	w.flows = slices.DeleteFunc(w.flows, func(f *flow) bool { return f.owner == victim.incarnation })
-	w.order = slices.DeleteFunc(w.order, func(agent *flowsAgent) bool { return agent == victim })
-	delete(w.agents, victim.incarnation)
-	delete(w.byAddress, victim.address)
+	before := len(s.flows)
+	s.flows = slices.DeleteFunc(s.flows, func(f *flow) bool { return f.owner == victim.incarnation })
+	s.agentsInOrder = slices.DeleteFunc(s.agentsInOrder, func(agent *flowsAgent) bool { return agent == victim })
+	delete(s.agents, victim.incarnation)
+	delete(s.byAddress, victim.address)
 
-	result.Held = before - len(w.flows)
-	result.ByConnectionID.Flows = len(w.flows)
+	result.Held = before - len(s.flows)
+	result.ByConnectionID.Flows = len(s.flows)
 
-	for _, f := range w.flows {
-		f.lostHash = f.hashed == victim.incarnation
-		f.lostMod = f.modulo == victim.incarnation
+	for _, f := range s.flows {
+		f.brokenByHash = f.hashOwner == victim.incarnation
+		f.brokenByModulo = f.moduloOwner == victim.incarnation
 
-		if !f.lostHash {
+		if !f.brokenByHash {
 			result.ByConsistentHash.Flows++
 		}
 
-		if !f.lostMod {
+		if !f.brokenByModulo {
 			result.ByModulo.Flows++
 		}
 	}
@@ -105,15 +105,15 @@
 	return result
 }
 
-// forget takes a lost agent out of the view.
-func (w *flowsWorld) forget(victim *flowsAgent) {
-	for i, member := range w.members {
+// removeFromView removes a lost agent from the view.
+func (s *flowsSimulation) removeFromView(victim *flowsAgent) {
+	for i, member := range s.agentEntries {
 		if member.Incarnation == victim.incarnation {
-			w.members = slices.Delete(w.members, i, i+1)
+			s.agentEntries = slices.Delete(s.agentEntries, i, i+1)
 
 			break
 		}
 	}
 
-	w.publish()
+	s.publish()
 }
--- a/internal/testing/measure/placement.go
+++ b/internal/testing/measure/placement.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	reportInterval = 3 * time.Second        // between the load reports of a backend server
-	siblingLatency = 500 * time.Microsecond // one way between agents
-	handOverLimit  = 5 * time.Second        // after which an agent gives up a request
+	reportInterval  = 3 * time.Second        // between two load reports of a backend server
+	siblingLatency  = 500 * time.Microsecond // one way between agents
+	handOverTimeout = 5 * time.Second        // after which an agent gives up on a hung backend server
 )
 
 // Placer is the part of a placement policy that a scenario uses.
@@ -33,28 +33,29 @@
 	Took(now time.Time, incarnation view.Incarnation, taken time.Duration)
 }
 
-// Imbalance describes a scenario of uneven connections.
+// Imbalance describes a scenario in which some connections and agents get far more
+// requests than others.
 type Imbalance struct {
 	Agents      int
 	Slots       int
 	Duration    time.Duration
-	Utilization float64       // offered work as a fraction of the capacity
+	Utilization float64       // offered load as a fraction of the capacity
 	Mean        time.Duration // service time at speed 1
 	Sigma       float64
-	Speeds      []float64 // of the backend servers, in turn; nil for all 1
+	Speeds      []float64 // of the backend servers, repeated as needed; nil means 1 for all
 	Connections int       // long-lived; their request rates are log-normal
 	Misleading  bool      // the first backend server always reports no load
-	Failing     int       // the first backend servers fail every request between a third and two thirds of the run
-	Hung        bool      // the failing ones do not answer instead of failing at once
+	Failing     int       // number of backend servers, from the first, that fail all requests in the middle third
+	Hung        bool      // failing backend servers do not answer at all, instead of failing at once
 }
 
-// ImbalanceResult holds the figures of one run.
+// ImbalanceResult holds the results of one run.
 type ImbalanceResult struct {
-	Requests  []int   // completed per backend server
-	Ingress   float64 // busiest over mean of the agents' own connections
-	Imbalance float64 // busiest over mean of Requests
-	Relative  float64 // busiest over mean of Requests per speed
-	Mean      time.Duration
+	Requests  []int         // completed by each backend server
+	Ingress   float64       // busiest agent over mean, by requests that arrive on its own connections
+	Imbalance float64       // busiest backend server over mean, by Requests
+	Relative  float64       // busiest backend server over mean, by Requests divided by speed
+	Mean      time.Duration // of completion times, as Median and P99
 	Median    time.Duration
 	P99       time.Duration
 	Failed    float64 // fraction of requests that failed
@@ -69,32 +70,33 @@
 	failing bool
 }
 
+// imbalanceRun is the state of an Unbalanced run.
 type imbalanceRun struct {
 	*simulation
-	scenario  Imbalance
-	servers   []*server
-	placers   []Placer
-	random    *rand.Rand
-	completed []int
-	ingress   []int
-	taken     []time.Duration
-	offered   int
-	failed    int
-	seconds   []int // placed on server 0 in each second
-	perSecond []int // placed in each second
+	scenario             Imbalance
+	servers              []*server
+	placers              []Placer
+	random               *rand.Rand
+	completed            []int
+	ingress              []int
+	completionTimes      []time.Duration
+	offered              int
+	failed               int
+	firstServerPerSecond []int // requests placed on server 0 in each second
+	placedPerSecond      []int // requests placed in each second
 }
 
 // Unbalanced runs the scenario with one placer per agent. The incarnation of
 // agent i is i+1.
 func Unbalanced(scenario Imbalance, newPlacer func(seed uint64) Placer, seed uint64) ImbalanceResult {
 	run := &imbalanceRun{
-		simulation: newSimulation(scenario.Duration),
-		scenario:   scenario,
-		random:     rand.New(rand.NewPCG(seed, 3)),
-		completed:  make([]int, scenario.Agents),
-		ingress:    make([]int, scenario.Agents),
-		seconds:    make([]int, int(scenario.Duration.Seconds())+1),
-		perSecond:  make([]int, int(scenario.Duration.Seconds())+1),
+		simulation:           newSimulation(scenario.Duration),
+		scenario:             scenario,
+		random:               rand.New(rand.NewPCG(seed, 3)),
+		completed:            make([]int, scenario.Agents),
+		ingress:              make([]int, scenario.Agents),
+		firstServerPerSecond: make([]int, int(scenario.Duration.Seconds())+1),
+		placedPerSecond:      make([]int, int(scenario.Duration.Seconds())+1),
 	}
 
 	agents := make([]view.Agent, scenario.Agents)
@@ -114,51 +116,53 @@
 		run.placers = append(run.placers, placer)
 	}
 
-	run.connect()
-	run.fail()
-	run.reports()
+	run.scheduleConnections()
+	run.scheduleFailures()
+	run.scheduleReports()
 	run.run()
 
 	return run.result()
 }
 
-// connect schedules the arrivals. Each connection belongs to one agent for the
-// whole run and has its own rate.
-func (r *imbalanceRun) connect() {
-	speed := 0.0
+// scheduleConnections schedules the arrivals. Each connection belongs to one agent
+// for the whole run and has its own request rate.
+func (r *imbalanceRun) scheduleConnections() {
+	totalSpeed := 0.0
 	for _, s := range r.servers {
-		speed += s.speed
+		totalSpeed += s.speed
 	}
 
-	total := r.scenario.Utilization * speed * float64(r.scenario.Slots) / r.scenario.Mean.Seconds()
+	totalRate := r.scenario.Utilization * totalSpeed * float64(r.scenario.Slots) / r.scenario.Mean.Seconds()
 	weights := make([]float64, r.scenario.Connections)
 	sum := 0.0
 
 	for i := range weights {
-		weights[i] = serviceTime(r.random, time.Second, 1.5).Seconds()
+		weights[i] = drawServiceTime(r.random, time.Second, 1.5).Seconds()
 		sum += weights[i]
 	}
 
 	for _, weight := range weights {
 		agent := r.random.IntN(r.scenario.Agents)
 		random := rand.New(rand.NewPCG(r.random.Uint64(), 4))
-		r.arrivals(random, epoch, total*weight/sum, func(now time.Time) {
+		r.scheduleArrivals(random, epoch, totalRate*weight/sum, func(now time.Time) {
 			r.ingress[agent]++
-			r.place(now, agent, serviceTime(random, r.scenario.Mean, r.scenario.Sigma))
+			r.place(now, agent, drawServiceTime(random, r.scenario.Mean, r.scenario.Sigma))
 		})
 	}
 }
 
-// fail lets the first backend servers fail in the middle third of the run.
-func (r *imbalanceRun) fail() {
+// scheduleFailures schedules the failure and recovery of the first backend servers,
+// which fail all requests in the middle third of the run.
+func (r *imbalanceRun) scheduleFailures() {
 	for _, s := range r.servers[:r.scenario.Failing] {
-		r.at(epoch.Add(r.scenario.Duration/3), func(time.Time) { s.failing = true })
-		r.at(epoch.Add(r.scenario.Duration*2/3), func(time.Time) { s.failing = false })
+		r.schedule(epoch.Add(r.scenario.Duration/3), func(time.Time) { s.failing = true })
+		r.schedule(epoch.Add(r.scenario.Duration*2/3), func(time.Time) { s.failing = false })
 	}
 }
 
-// reports sends each backend server's load to all agents at an interval.
-func (r *imbalanceRun) reports() {
+// scheduleReports sends the load of each backend server to all agents
+// periodically.
+func (r *imbalanceRun) scheduleReports() {
 	for i, s := range r.servers {
 		var report func(now time.Time)
 
@@ -174,14 +178,15 @@
 				}
 			}
 
-			r.at(now.Add(reportInterval), report)
+			r.schedule(now.Add(reportInterval), report)
 		}
 
-		r.at(epoch.Add(time.Duration(r.random.Int64N(int64(reportInterval)))), report)
+		r.schedule(epoch.Add(time.Duration(r.random.Int64N(int64(reportInterval)))), report)
 	}
 }
 
-func (r *imbalanceRun) place(now time.Time, agent int, work time.Duration) {
+// place sends a request that arrived at the agent to a backend server.
+func (r *imbalanceRun) place(now time.Time, agent int, serviceTime time.Duration) {
 	r.offered++
 
 	incarnation, ok := r.placers[agent].Pick(now)
@@ -192,30 +197,34 @@
 	}
 
 	target := int(incarnation) - 1
-	r.perSecond[int(now.Sub(epoch).Seconds())]++
+	r.placedPerSecond[int(now.Sub(epoch).Seconds())]++
 
 	if target == 0 {
-		r.seconds[int(now.Sub(epoch).Seconds())]++
+		r.firstServerPerSecond[int(now.Sub(epoch).Seconds())]++
 	}
 
-	hop := siblingLatency
+	latency := siblingLatency
 	if target == agent {
-		hop = 0
+		latency = 0
 	}
 
-	r.at(now.Add(hop), func(at time.Time) {
-		r.arrive(at, target, work, func(done time.Time, outcome placement.Outcome) {
-			r.at(done.Add(hop), func(end time.Time) { r.end(end, now, agent, incarnation, outcome) })
+	r.schedule(now.Add(latency), func(at time.Time) {
+		r.enqueue(at, target, serviceTime, func(done time.Time, outcome placement.Outcome) {
+			r.schedule(done.Add(latency), func(finished time.Time) { r.finish(finished, now, agent, incarnation, outcome) })
 		})
 	})
 }
 
-func (r *imbalanceRun) arrive(now time.Time, target int, work time.Duration, done func(time.Time, placement.Outcome)) {
+// enqueue starts a request at a backend server, or queues it while all slots are
+// in use, and calls done with the outcome.
+func (r *imbalanceRun) enqueue(
+	now time.Time, target int, serviceTime time.Duration, done func(time.Time, placement.Outcome),
+) {
 	s := r.servers[target]
 
 	switch {
 	case s.failing && r.scenario.Hung:
-		r.at(now.Add(handOverLimit), func(now time.Time) { done(now, placement.Failed) })
+		r.schedule(now.Add(handOverTimeout), func(now time.Time) { done(now, placement.Failed) })
 
 		return
 	case s.failing:
@@ -226,7 +235,7 @@
 
 	start := func(now time.Time) {
 		s.running++
-		r.at(now.Add(time.Duration(float64(work)/s.speed)), func(now time.Time) {
+		r.schedule(now.Add(time.Duration(float64(serviceTime)/s.speed)), func(now time.Time) {
 			s.running--
 			r.completed[target]++
 
@@ -247,7 +256,9 @@
 	}
 }
 
-func (r *imbalanceRun) end(now, begun time.Time, agent int, incarnation view.Incarnation, outcome placement.Outcome) {
+func (r *imbalanceRun) finish(
+	now, started time.Time, agent int, incarnation view.Incarnation, outcome placement.Outcome,
+) {
 	r.placers[agent].Observe(now, incarnation, outcome)
 
 	if outcome == placement.Failed {
@@ -256,10 +267,10 @@
 		return
 	}
 
-	r.taken = append(r.taken, now.Sub(begun))
+	r.completionTimes = append(r.completionTimes, now.Sub(started))
 
 	if timer, ok := r.placers[agent].(Timer); ok {
-		timer.Took(now, incarnation, now.Sub(begun))
+		timer.Took(now, incarnation, now.Sub(started))
 	}
 }
 
@@ -275,40 +286,41 @@
 		Imbalance: busiestOverMean(toFloats(r.completed)),
 		Relative:  busiestOverMean(perSpeed),
 		Failed:    float64(r.failed) / float64(max(r.offered, 1)),
-		Peak:      r.peak(),
+		Peak:      r.peakShare(),
 	}
 
-	if len(r.taken) == 0 {
+	if len(r.completionTimes) == 0 {
 		return result
 	}
 
-	slices.Sort(r.taken)
+	slices.Sort(r.completionTimes)
 
-	for _, taken := range r.taken {
-		result.Mean += taken / time.Duration(len(r.taken))
+	for _, taken := range r.completionTimes {
+		result.Mean += taken / time.Duration(len(r.completionTimes))
 	}
 
-	result.Median = r.taken[len(r.taken)/2]
-	result.P99 = r.taken[len(r.taken)*99/100]
+	result.Median = r.completionTimes[len(r.completionTimes)/2]
+	result.P99 = r.completionTimes[len(r.completionTimes)*99/100]
 
 	return result
 }
 
-// peak returns the highest share that the first backend server got in a second
-// after its recovery.
-func (r *imbalanceRun) peak() float64 {
-	peak := 0.0
+// peakShare returns the highest share of requests that the first backend server
+// got in any second after its recovery, relative to an even share.
+func (r *imbalanceRun) peakShare() float64 {
+	highest := 0.0
 
-	for second := int(r.scenario.Duration.Seconds()*2/3) + 1; second < len(r.seconds)-1; second++ {
-		if r.perSecond[second] > 0 {
-			even := float64(r.perSecond[second]) / float64(r.scenario.Agents)
-			peak = max(peak, float64(r.seconds[second])/even)
+	for second := int(r.scenario.Duration.Seconds()*2/3) + 1; second < len(r.firstServerPerSecond)-1; second++ {
+		if r.placedPerSecond[second] > 0 {
+			evenShare := float64(r.placedPerSecond[second]) / float64(r.scenario.Agents)
+			highest = max(highest, float64(r.firstServerPerSecond[second])/evenShare)
 		}
 	}
 
-	return peak
+	return highest
 }
 
+// busiestOverMean returns the highest value divided by the mean.
 func busiestOverMean(values []float64) float64 {
 	sum := 0.0
 	for _, value := range values {
--- a/internal/testing/measure/placement_test.go
+++ b/internal/testing/measure/placement_test.go
@@ -19,20 +19,21 @@
 	{name: "picker", make: measure.NewPicker},
 }
 
-var imbalances = []struct {
+var imbalanceScenarios = []struct {
 	name     string
 	scenario measure.Imbalance
 }{
-	{name: "equal", scenario: uneven(7, 0.6)},
-	{name: "three", scenario: uneven(3, 0.6)},
-	{name: "hundreds", scenario: uneven(200, 0.6)},
-	{name: "busy", scenario: uneven(7, 0.9)},
-	{name: "unequal-speed", scenario: withSpeeds(uneven(7, 0.7), 1, 1, 0.5)},
-	{name: "failing", scenario: failing(uneven(7, 0.6), false)},
-	{name: "hung", scenario: failing(uneven(7, 0.6), true)},
+	{name: "equal", scenario: unevenLoad(7, 0.6)},
+	{name: "three", scenario: unevenLoad(3, 0.6)},
+	{name: "hundreds", scenario: unevenLoad(200, 0.6)},
+	{name: "busy", scenario: unevenLoad(7, 0.9)},
+	{name: "unequal-speed", scenario: withSpeeds(unevenLoad(7, 0.7), 1, 1, 0.5)},
+	{name: "failing", scenario: withFailure(unevenLoad(7, 0.6), false)},
+	{name: "hung", scenario: withFailure(unevenLoad(7, 0.6), true)},
 }
 
-func uneven(agents int, utilization float64) measure.Imbalance {
+// unevenLoad returns a scenario with uneven connections and one wrong load report.
+func unevenLoad(agents int, utilization float64) measure.Imbalance {
 	return measure.Imbalance{
 		Agents: agents, Slots: 3, Duration: time.Minute, Utilization: utilization, Mean: 50 * time.Millisecond,
 		Sigma: 1, Connections: 4 * agents, Misleading: true,
@@ -45,17 +46,17 @@
 	return scenario
 }
 
-func failing(scenario measure.Imbalance, hung bool) measure.Imbalance {
+func withFailure(scenario measure.Imbalance, hung bool) measure.Imbalance {
 	scenario.Failing = 1
 	scenario.Hung = hung
 
 	return scenario
 }
 
-// BenchmarkImbalance reports imbalance and completion times per scenario and
-// policy. Figures are medians over the seeds 1 to b.N.
+// BenchmarkImbalance reports imbalance, completion times and failures per scenario
+// and policy. Figures are medians over the seeds 1 to b.N.
 func BenchmarkImbalance(b *testing.B) {
-	for _, c := range imbalances {
+	for _, c := range imbalanceScenarios {
 		for _, policy := range placers {
 			b.Run(c.name+"/"+policy.name, func(b *testing.B) {
 				var imbalance, ingress, mean, p99, failed, peak []float64
@@ -70,12 +71,12 @@
 					peak = append(peak, result.Peak)
 				}
 
-				report(b, "ingress", ingress)
-				report(b, "imbalance", imbalance)
-				report(b, "mean-ms", mean)
-				report(b, "p99-ms", p99)
-				report(b, "failed", failed)
-				report(b, "peak", peak)
+				reportSummary(b, "ingress", ingress)
+				reportSummary(b, "imbalance", imbalance)
+				reportSummary(b, "mean-ms", mean)
+				reportSummary(b, "p99-ms", p99)
+				reportSummary(b, "failed", failed)
+				reportSummary(b, "peak", peak)
 			})
 		}
 	}
--- a/internal/testing/measure/replies.go
+++ b/internal/testing/measure/replies.go
@@ -10,44 +10,46 @@
 	"jayspindle/internal/state/view"
 )
 
-// RepliesConfig describes feeds of one agent while one balancer stops silently.
+// RepliesConfig describes feeds of one agent while one balancer fails without
+// notice.
 type RepliesConfig struct {
 	Seed      uint64
 	Balancers int
 	Flows     int
-	Duration  time.Duration // the balancer stops at half of it
-	LastSeen  bool          // reply through the balancer that the flow was last heard from
+	Duration  time.Duration // the balancer fails halfway through
+	LastSeen  bool          // reply through the balancer that last forwarded a packet of the flow
 }
 
-// RepliesResult counts replies. A reply is late when it reaches its caller more
+// RepliesResult counts replies. A reply is late if it reaches its caller more
 // than a second after it was first sent.
 type RepliesResult struct {
-	Sent     int // with retransmissions
+	Sent     int // including retransmissions
 	Lost     int
 	Late     int
-	SlowTime time.Duration // longest time until a reply arrived
+	SlowTime time.Duration // longest time from the first transmission of a reply to its arrival
 }
 
 const (
-	repliesTick    = 10 * time.Millisecond
-	replyInterval  = 500 * time.Millisecond // of a feed, mean
-	keepAlive      = 5 * time.Second        // after which a caller that hears nothing sends
-	firstProbe     = 200 * time.Millisecond // doubled for each further retransmission
-	fabricReaction = 3 * time.Second        // until the fabric stops sending to the balancer
+	repliesStep         = 10 * time.Millisecond
+	replyInterval       = 500 * time.Millisecond // mean time between two replies of a feed
+	keepAliveInterval   = 5 * time.Second        // after which a silent caller sends a packet
+	initialProbeTimeout = 200 * time.Millisecond // until the first retransmission; doubled for each further one
+	fabricFailoverDelay = 3 * time.Second        // until the fabric stops sending to the failed balancer
 )
 
-// feed is one flow: at most one reply is unanswered at a time.
+// feed is a flow on which the agent sends replies, with at most one
+// unacknowledged reply at a time.
 type feed struct {
-	caller   netip.AddrPort
-	lastSeen int // index of a balancer
-	spoke    time.Time
-	first    time.Time // of the unanswered reply; zero if there is none
-	retry    time.Time
-	probe    time.Duration
+	caller       netip.AddrPort
+	lastSeen     int       // index of the balancer that last forwarded a packet of the flow
+	callerSentAt time.Time // of the caller's last packet
+	firstSentAt  time.Time // first transmission of the unacknowledged reply; zero if there is none
+	retryAt      time.Time
+	probeTimeout time.Duration
 }
 
-// repliesWorld is the state of a run.
-type repliesWorld struct {
+// repliesSimulation is the state of a Replies run.
+type repliesSimulation struct {
 	config RepliesConfig
 	random *rand.Rand
 	agent  *forward.Agent
@@ -58,7 +60,8 @@
 	result RepliesResult
 }
 
-// Replies runs feeds of one agent through balancers of which the first stops.
+// Replies runs feeds of one agent through several balancers, the first of which
+// fails.
 func Replies(config RepliesConfig) (RepliesResult, error) {
 	const agent, service = 1, 1
 
@@ -80,81 +83,83 @@
 		return RepliesResult{}, err
 	}
 
-	world := &repliesWorld{
+	s := &repliesSimulation{
 		config: config, random: rand.New(rand.NewPCG(config.Seed, 1)), keys: keys,
 		agent: forward.NewAgent(agent, service), start: start, now: start,
 	}
-	if err := world.agent.Apply(view.New(contents)); err != nil {
+	if err := s.agent.Apply(view.New(contents)); err != nil {
 		return RepliesResult{}, err
 	}
 
 	for i := range config.Flows {
 		address := netip.AddrFrom4([4]byte{100, 0, byte(i >> 8), byte(i)})
-		world.feeds = append(world.feeds, &feed{caller: netip.AddrPortFrom(address, 4433)})
+		s.feeds = append(s.feeds, &feed{caller: netip.AddrPortFrom(address, 4433)})
 	}
 
-	for ; world.now.Before(start.Add(config.Duration)); world.now = world.now.Add(repliesTick) {
-		for _, f := range world.feeds {
-			world.tick(f)
+	for ; s.now.Before(start.Add(config.Duration)); s.now = s.now.Add(repliesStep) {
+		for _, f := range s.feeds {
+			s.stepFeed(f)
 		}
 	}
 
-	return world.result, nil
+	return s.result, nil
 }
 
 func balancerAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7000)
 }
 
-// stopped reports whether a balancer forwards nothing any more.
-func (w *repliesWorld) stopped(balancer int) bool {
-	return balancer == 0 && w.now.Sub(w.start) >= w.config.Duration/2
+// stopped reports whether a balancer has failed.
+func (s *repliesSimulation) stopped(balancer int) bool {
+	return balancer == 0 && s.now.Sub(s.start) >= s.config.Duration/2
 }
 
-// tick lets the caller speak after a silence, and the agent send what is due.
-func (w *repliesWorld) tick(f *feed) {
-	if w.now.Sub(f.spoke) >= keepAlive {
-		w.speak(f)
+// stepFeed sends a packet of the caller if it has been silent for too long, and a
+// reply or retransmission of the agent if one is due.
+func (s *repliesSimulation) stepFeed(f *feed) {
+	if s.now.Sub(f.callerSentAt) >= keepAliveInterval {
+		s.sendFromCaller(f)
 	}
 
 	switch {
-	case !f.first.IsZero() && !w.now.Before(f.retry):
-		w.send(f)
-	case f.first.IsZero() && w.random.Float64() < float64(repliesTick)/float64(replyInterval):
-		f.first, f.probe = w.now, firstProbe
-		w.send(f)
+	case !f.firstSentAt.IsZero() && !s.now.Before(f.retryAt):
+		s.sendReply(f)
+	case f.firstSentAt.IsZero() && s.random.Float64() < float64(repliesStep)/float64(replyInterval):
+		f.firstSentAt, f.probeTimeout = s.now, initialProbeTimeout
+		s.sendReply(f)
 	}
 }
 
-// speak sends a packet of the caller through the fabric.
-func (w *repliesWorld) speak(f *feed) {
-	f.spoke = w.now
+// sendFromCaller sends a packet of the caller through the fabric.
+func (s *repliesSimulation) sendFromCaller(f *feed) {
+	f.callerSentAt = s.now
 
-	balancer := w.random.IntN(w.config.Balancers)
-	if w.stopped(balancer) {
-		if w.now.Sub(w.start) < w.config.Duration/2+fabricReaction || w.config.Balancers == 1 {
+	balancer := s.random.IntN(s.config.Balancers)
+	if s.stopped(balancer) {
+		if s.now.Sub(s.start) < s.config.Duration/2+fabricFailoverDelay || s.config.Balancers == 1 {
 			return
 		}
 
-		balancer = 1 + w.random.IntN(w.config.Balancers-1)
+		balancer = 1 + s.random.IntN(s.config.Balancers-1)
 	}
 
 	buffer := make([]byte, datagram.HeaderLength+1)
-	w.keys.Seal(buffer, &datagram.Header{
+	s.keys.Seal(buffer, &datagram.Header{
 		Kind: datagram.Forward, Service: 1, Agent: 1,
 		Balancer: view.Incarnation(2 + balancer), Caller: f.caller,
 	})
-	w.agent.Receive(w.now, buffer, balancerAddress(balancer))
+	s.agent.Receive(s.now, buffer, balancerAddress(balancer))
 
 	f.lastSeen = balancer
 }
 
-// send sends or repeats the unanswered reply. The caller acknowledges it.
-func (w *repliesWorld) send(f *feed) {
+// sendReply sends or retransmits the unacknowledged reply. The caller acknowledges
+// it if it arrives.
+func (s *repliesSimulation) sendReply(f *feed) {
 	balancer := f.lastSeen
 
-	if !w.config.LastSeen {
-		header, _, ok := w.agent.Reply(w.now, f.caller)
+	if !s.config.LastSeen {
+		header, _, ok := s.agent.Reply(s.now, f.caller)
 		if !ok {
 			return
 		}
@@ -162,23 +167,23 @@
 		balancer = int(header.Balancer) - 2
 	}
 
-	w.result.Sent++
+	s.result.Sent++
 
-	if w.stopped(balancer) {
-		w.result.Lost++
-		f.retry = w.now.Add(f.probe)
-		f.probe *= 2
+	if s.stopped(balancer) {
+		s.result.Lost++
+		f.retryAt = s.now.Add(f.probeTimeout)
+		f.probeTimeout *= 2
 
 		return
 	}
 
-	waited := w.now.Sub(f.first)
-	w.result.SlowTime = max(w.result.SlowTime, waited)
+	waited := s.now.Sub(f.firstSentAt)
+	s.result.SlowTime = max(s.result.SlowTime, waited)
 
 	if waited > time.Second {
-		w.result.Late++
+		s.result.Late++
 	}
 
-	f.first = time.Time{}
-	w.speak(f)
+	f.firstSentAt = time.Time{}
+	s.sendFromCaller(f)
 }
--- a/internal/testing/measure/scenarios_test.go
+++ b/internal/testing/measure/scenarios_test.go
@@ -10,8 +10,8 @@
 	"jayspindle/internal/testing/soak"
 )
 
-// Guards against the loss of an agent that breaks flows of other agents, and
-// against a scenario in which no method would.
+// Guards against the loss of an agent that breaks flows of other agents. Also
+// checks that the loss does break such flows under the modulo method.
 func TestAgentLoss(t *testing.T) {
 	soak.Run(t, 2, func(t *testing.T, seed uint64) {
 		is := is.New(t)
@@ -25,8 +25,9 @@
 	})
 }
 
-// Guards against agents that hold more than 1.25 times the mean, and against
-// a scenario that does not mislead those who believe reports.
+// Guards against agents that hold more than 1.25 times the mean number of flows.
+// Also checks that the wrong reports of the scenario mislead a method that uses
+// them.
 func TestFlowBalance(t *testing.T) {
 	soak.Run(t, 1, func(t *testing.T, seed uint64) {
 		is := is.New(t)
@@ -38,8 +39,8 @@
 	})
 }
 
-// Guards against non-idempotent requests that run twice or vanish, and against
-// faults so mild that methods without claims pass as well.
+// Guards against non-idempotent requests that run twice or are lost. Also checks
+// that the injected faults are severe enough for methods without claims to fail.
 func TestExecutions(t *testing.T) {
 	soak.Run(t, 2, func(t *testing.T, seed uint64) {
 		is := is.New(t)
@@ -61,7 +62,7 @@
 	})
 }
 
-// Guards against a loop that measures something else than established flows,
+// Guards against datagrams that are not forwarded as part of an established flow,
 // and against allocations per datagram.
 func TestForwarding(t *testing.T) {
 	is := is.New(t)
@@ -69,10 +70,10 @@
 	is.NoErr(err)
 	is.True(got.Bare > 0 && got.Path > 0)
 	is.Equal(got.Dropped, 0)
-	is.True(got.Allocations < 0.05) // the run itself allocates a little
+	is.True(got.Allocations < 0.05) // the measurement itself allocates a little
 }
 
-// Guards against services that differ from the design page.
+// Guards against services whose size differs from the design page.
 func TestServices(t *testing.T) {
 	is := is.New(t)
 	agents := map[string]int{"crew-link": 7, "sheet-desk": 3, "listing-desk": 7, "cert-vault": 4}
--- a/internal/testing/measure/services.go
+++ b/internal/testing/measure/services.go
@@ -1,9 +1,9 @@
 package measure
 
-// Services returns the four services of both deployments: the main ones of
-// Deployments, and the small ones beside them. The small ones are given the
-// work of the main service, so that a flood meets the same classes with fewer
-// backend servers.
+// Services returns the four services of both deployments: the main services,
+// which Deployments returns, and a smaller one per deployment. The smaller
+// services have the classes of the main one, so that the same floods are
+// measured with fewer backend servers.
 func Services() []Deployment {
 	small := map[string]struct {
 		name   string
--- a/internal/testing/measure/targets_test.go
+++ b/internal/testing/measure/targets_test.go
@@ -11,9 +11,9 @@
 	"jayspindle/internal/testing/soak"
 )
 
-// flood runs a shorter scenario than the benchmark, which takes minutes under
-// the race detector.
-func flood(
+// runFlood runs a shorter scenario than the benchmark, which would take minutes
+// under the race detector.
+func runFlood(
 	deployment measure.Deployment, flooder measure.Flooder, policy func(admission.Policy) measure.Admitter, seed uint64,
 ) measure.FloodResult {
 	scenario := deployment.Flooded(flooder)
@@ -22,47 +22,48 @@
 	return measure.Flood(scenario, policy, seed)
 }
 
-// TestLeastUrgentFlood guards against bulk work that delays urgent work: 99%
-// must be in time while bulk work arrives at 10 times the fleet's capacity.
+// TestLeastUrgentFlood guards against bulk requests that delay urgent ones: 99% of
+// the urgent requests must be in time while bulk requests arrive at 10 times the
+// capacity of all backend servers.
 func TestLeastUrgentFlood(t *testing.T) {
 	soak.Run(t, 1, func(t *testing.T, seed uint64) {
 		for _, deployment := range measure.Deployments() {
 			is := is.New(t)
 			urgent := deployment.Work[0].Class.Name
-			result := flood(deployment, measure.LeastUrgent, measure.NewScheduler, seed)
+			result := runFlood(deployment, measure.LeastUrgent, measure.NewScheduler, seed)
 			is.True(result.Class(urgent).InTime() >= 0.99)
-			is.True(result.Busy >= 0.85) // the reserve costs little capacity
+			is.True(result.Busy >= 0.85) // the reserved slots cost little capacity
 
-			plain := flood(deployment, measure.LeastUrgent, measure.NewFirstCome, seed)
-			is.True(plain.Class(urgent).InTime() < 0.5) // the scenario is a real flood
+			firstCome := runFlood(deployment, measure.LeastUrgent, measure.NewFirstCome, seed)
+			is.True(firstCome.Class(urgent).InTime() < 0.5) // without the scheduler, the flood does harm
 		}
 	})
 }
 
-// TestMostUrgentFlood guards against urgent work that starves the others: each
-// class must keep its minimum share, within the granularity of long requests.
+// TestMostUrgentFlood guards against urgent requests that starve other classes:
+// each class must keep its minimum share, within the granularity of long requests.
 func TestMostUrgentFlood(t *testing.T) {
 	soak.Run(t, 1, func(t *testing.T, seed uint64) {
 		for _, deployment := range measure.Deployments() {
 			is := is.New(t)
-			result := flood(deployment, measure.MostUrgent, measure.NewScheduler, seed)
-			is.True(worstShare(result) >= 0.95)
-			is.True(result.MaxWaiting <= admission.DefaultQueueLength*len(deployment.Work)) // bounded
+			result := runFlood(deployment, measure.MostUrgent, measure.NewScheduler, seed)
+			is.True(lowestShareKept(result) >= 0.95)
+			is.True(result.MaxWaiting <= admission.DefaultQueueLength*len(deployment.Work)) // queues are bounded
 		}
 
-		strict := flood(measure.Deployments()[1], measure.MostUrgent, measure.NewStrictPriority, seed)
-		is.New(t).True(worstShare(strict) < 0.5) // the scenario is a real flood
+		strict := runFlood(measure.Deployments()[1], measure.MostUrgent, measure.NewStrictPriority, seed)
+		is.New(t).True(lowestShareKept(strict) < 0.5) // without the scheduler, the flood does harm
 	})
 }
 
-// TestOtherService guards against state that schedulers of two services share:
-// the figures of one service do not depend on a flood of the other.
+// TestOtherService guards against shared state between the schedulers of two
+// services: the results of one service must not depend on a flood of the other.
 func TestOtherService(t *testing.T) {
 	is := is.New(t)
 	deployments := measure.Deployments()
-	before := flood(deployments[1], measure.Nobody, measure.NewScheduler, 1)
-	flood(deployments[0], measure.LeastUrgent, measure.NewScheduler, 1)
-	after := flood(deployments[1], measure.Nobody, measure.NewScheduler, 1)
+	before := runFlood(deployments[1], measure.Nobody, measure.NewScheduler, 1)
+	runFlood(deployments[0], measure.LeastUrgent, measure.NewScheduler, 1)
+	after := runFlood(deployments[1], measure.Nobody, measure.NewScheduler, 1)
 	is.Equal(before.Classes, after.Classes)
 }
 
@@ -70,7 +71,7 @@
 // the mean although connections are uneven and one load report is wrong.
 func TestImbalance(t *testing.T) {
 	soak.Run(t, 1, func(t *testing.T, seed uint64) {
-		for _, c := range imbalances[:3] {
+		for _, c := range imbalanceScenarios[:3] {
 			scenario := c.scenario
 			scenario.Duration = time.Duration(max(20-scenario.Agents/15, 6)) * time.Second
 			is := is.New(t)
@@ -81,13 +82,13 @@
 	})
 }
 
-// TestRecovery guards against a failing backend server that keeps its share,
-// and against one that gets a burst when it returns.
+// TestRecovery guards against a failing backend server that keeps its share of
+// requests, and against a burst of requests to it when it recovers.
 func TestRecovery(t *testing.T) {
 	soak.Run(t, 1, func(t *testing.T, seed uint64) {
 		for _, hung := range []bool{false, true} {
 			is := is.New(t)
-			result := measure.Unbalanced(failing(uneven(7, 0.6), hung), measure.NewPicker, seed)
+			result := measure.Unbalanced(withFailure(unevenLoad(7, 0.6), hung), measure.NewPicker, seed)
 			is.True(result.Failed < 0.01)
 			is.True(result.Peak < 1.3)
 		}
