--- a/internal/testing/measure/flows.go
+++ b/internal/testing/measure/flows.go
@@ -62,7 +62,7 @@
 	caller  netip.AddrPort
 	packet  []byte // short-header packet with the connection ID issued by the owner
 
-	owner, hashOwner, moduloOwner        view.Incarnation
+	owner, ownerByHash, ownerByModulo    view.Incarnation
 	broken, brokenByHash, brokenByModulo bool // counted as broken, or excluded from the count
 }
 
@@ -196,8 +196,8 @@
 	opened.packet = append(opened.packet, make([]byte, 20)...)
 
 	current := s.pickBalancer().table()
-	opened.hashOwner, _ = current.Owner(opened.service, tupleHash(opened))
-	opened.moduloOwner = moduloOwner(current.View(), opened)
+	opened.ownerByHash, _ = current.Owner(opened.service, tupleHash(opened))
+	opened.ownerByModulo = moduloOwner(current.View(), opened)
 
 	s.flows = append(s.flows, opened)
 	s.result.Opened++
@@ -230,11 +230,11 @@
 // compareMethods counts the flow as broken under a baseline method if that
 // method, with the balancer's view, no longer selects the owner of the flow.
 func (s *flowsSimulation) compareMethods(table *routing.Table, f *flow) {
-	if owner, _ := table.Owner(f.service, tupleHash(f)); owner != f.hashOwner {
+	if owner, _ := table.Owner(f.service, tupleHash(f)); owner != f.ownerByHash {
 		s.result.BrokenByConsistentHash += countOnce(&f.brokenByHash)
 	}
 
-	if moduloOwner(table.View(), f) != f.moduloOwner {
+	if moduloOwner(table.View(), f) != f.ownerByModulo {
 		s.result.BrokenByModulo += countOnce(&f.brokenByModulo)
 	}
 }
--- a/internal/testing/measure/loss.go
+++ b/internal/testing/measure/loss.go
@@ -90,8 +90,8 @@
 	result.ByConnectionID.Flows = len(s.flows)
 
 	for _, f := range s.flows {
-		f.brokenByHash = f.hashOwner == victim.incarnation
-		f.brokenByModulo = f.moduloOwner == victim.incarnation
+		f.brokenByHash = f.ownerByHash == victim.incarnation
+		f.brokenByModulo = f.ownerByModulo == victim.incarnation
 
 		if !f.brokenByHash {
 			result.ByConsistentHash.Flows++
