--- a/internal/testing/measure/claims.go
+++ b/internal/testing/measure/claims.go
@@ -45,7 +45,7 @@
 func Claims(scenario ClaimScenario, seed uint64) ClaimResult {
 	s := &claimSimulation{
 		random: rand.New(rand.NewPCG(seed, 0)), now: epoch, scenario: scenario,
-		events: make(map[time.Time][]func()), handOvers: make(map[claim.Key][]handOver),
+		events: make(map[time.Time][]func()), handOvers: make(map[claim.Key][]handOverRecord),
 		result: ClaimResult{Verdicts: make(map[claim.Verdict]int), Reasons: make(map[claim.Reason]int)},
 	}
 
--- a/internal/testing/measure/claims_simulation.go
+++ b/internal/testing/measure/claims_simulation.go
@@ -39,8 +39,8 @@
 	resendsLeft int
 }
 
-// handOver records that an execution was handed over to a backend server.
-type handOver struct {
+// handOverRecord records that an execution was handed over to a backend server.
+type handOverRecord struct {
 	execution claim.Execution
 	at        time.Time
 }
@@ -54,7 +54,7 @@
 	nodes     []*claimNode
 	agents    []view.Agent
 	position  view.Position
-	handOvers map[claim.Key][]handOver
+	handOvers map[claim.Key][]handOverRecord
 	scenario  ClaimScenario
 	result    ClaimResult
 }
@@ -364,7 +364,7 @@
 // checkReplay records a violation unless the replayed answer is that of an
 // execution that was handed over.
 func (s *claimSimulation) checkReplay(a *claimAttempt, decision claim.Decision) {
-	if !slices.ContainsFunc(s.handOvers[a.key], func(r handOver) bool {
+	if !slices.ContainsFunc(s.handOvers[a.key], func(r handOverRecord) bool {
 		return r.execution == decision.Owner && answerOf(r.execution) == string(decision.Answer.Body)
 	}) {
 		s.recordViolation("%v: replayed %q of %v, ran %v", a.key, decision.Answer.Body, decision.Owner, s.handOvers[a.key])
@@ -386,7 +386,7 @@
 		}
 	}
 
-	s.handOvers[a.key] = append(s.handOvers[a.key], handOver{execution: a.Execution(), at: s.now})
+	s.handOvers[a.key] = append(s.handOvers[a.key], handOverRecord{execution: a.Execution(), at: s.now})
 
 	s.scheduleAfter(s.randomDuration(2*time.Second), func() {
 		if a.node.alive {
