--- a/examples/kitakyushu/deployment.sh
+++ b/examples/kitakyushu/deployment.sh
@@ -1,5 +1,5 @@
-# The deployment of Kitakyushu, for the scripts.
+# Parameters of the Kitakyushu deployment. scripts/deploy.sh sources this file.
 zones=(kokura yahata moji)
 services=(crew-link:7 sheet-desk:3) # name and number of backend servers
 owners=(city works)
-traced=pass-report # class of the request that the demo shows hop by hop
+traced_class=pass-report # the demo shows the trace of a request of this class
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Runs an example deployment on loopback: a document is tried in trial and
-# promoted to production, then callers drive feeds and requests while one
-# balancer is killed and one backend server drains. Exits with 0 only if no flow
-# broke and no non-idempotent request ran twice or was lost.
+# Runs an example deployment on loopback. Tests a document in the trial
+# environment, promotes it to production, then opens feeds and sends requests
+# while one balancer is killed and one backend server drains. Exits with status 0
+# only if no flow broke and no non-idempotent request ran twice or was lost.
 #
 # Usage: scripts/demo.sh [kitakyushu|magnolia]
 set -euo pipefail
@@ -34,31 +34,31 @@
 sign_both trial
 start_trial
 start_production
-await_ready "${trial_ready[@]}"
-trial_load >"$work/load-trial.yaml"
+await_ready "${trial_health_addresses[@]}"
+print_trial_load >"$work/load-trial.yaml"
 jayspindle load -settings load-trial.yaml 2>"$work/load-trial.log"
 
 step "production: promote the same bytes, both co-owners sign again"
 jayspindle promote -author "${owners[1]}" -reason "tried in trial"
 sign_both production
-await_ready "${production_ready[@]}"
-sleep 12 # agents that started take their full share after 10 s
+await_ready "${production_health_addresses[@]}"
+sleep 12 # new agents reach their full share of requests after 10 s
 jayspindle status -environment production
 
-step "20 s of load; balancer-2 is killed after 5 s, $first-3 drains after 9 s"
+step "20 s of load; balancer-2 is killed after 5 s, $first_service-3 drains after 9 s"
 cp "$examples/load.yaml" "$work/load.yaml"
 (
 	sleep 5
 	signal balancer-2 KILL
 	sleep 4
-	signal "$first-3" TERM
+	signal "$first_service-3" TERM
 ) &
 status=0
 jayspindle load -settings load.yaml 2>"$work/load.log" || status=$?
 
 step "the change, and one request hop by hop"
 jayspindle explain -environment production 1
-(cd "$work" && "$binary" trace -request "$traced" load.trace balancer-*.trace "$first"-*.trace backend-*.trace) |
+(cd "$work" && "$binary" trace -request "$traced_class" load.trace balancer-*.trace "$first_service"-*.trace backend-*.trace) |
 	head -12 || true
 
 step "$([[ $status == 0 ]] && echo 'every promise was kept' || echo "FAILED: see the table; logs are in $work")"
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -13,7 +13,7 @@
 	shift
 	(cd "$work" && exec "$binary" "$@" >>"$name.out" 2>>"$name.log") &
 	echo $! >"$work/$name.pid"
-	disown # the shell would report each process that is killed
+	disown # otherwise the shell prints a message for each killed process
 }
 
 # pid NAME: prints the process id.
@@ -31,7 +31,7 @@
 		kill -TERM "$(cat "$file")" 2>/dev/null || true
 	done
 	for waited in {1..30}; do
-		alive || return 0
+		any_running || return 0
 		sleep 0.1
 	done
 	for file in "$work"/*.pid; do
@@ -40,8 +40,8 @@
 	return 0
 }
 
-# alive: reports whether a process of the deployment still runs.
-alive() {
+# any_running: succeeds if any process of the deployment still runs.
+any_running() {
 	local file
 	for file in "$work"/*.pid; do
 		[[ -e $file ]] && kill -0 "$(cat "$file")" 2>/dev/null && return 0
@@ -49,14 +49,15 @@
 	return 1
 }
 
-# derive TEMPLATE OLD-NAME NEW-NAME OLD-HOST NEW-HOST ZONE: prints the settings
-# of another instance of the same kind.
-derive() {
+# derive_settings TEMPLATE OLD-NAME NEW-NAME OLD-HOST NEW-HOST ZONE: prints the
+# settings of TEMPLATE with another name, host and availability zone.
+derive_settings() {
 	sed -e "s/\b$2\b/$3/g" -e "s/\b${4//./\\.}:/$5:/g" -e "s/listen_host: .*/listen_host: $5/" \
 		-e "s/zone: ${zones[0]}/zone: $6/" "$1"
 }
 
-# await SECONDS COMMAND...: repeats a command until it succeeds.
+# await SECONDS COMMAND...: runs a command until it succeeds, with pauses of
+# 0.1 s that add up to at most SECONDS.
 await() {
 	local tries=$(($1 * 10))
 	shift
@@ -66,5 +67,5 @@
 	done
 }
 
-# ready ADDRESS: asks the health check of a debug address.
-ready() { curl -fsS --max-time 1 "http://$1/healthz"; }
+# is_ready ADDRESS: succeeds if the health check at a debug address passes.
+is_ready() { curl -fsS --max-time 1 "http://$1/healthz"; }
--- a/scripts/unit.sh
+++ b/scripts/unit.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs all tests under the race detector. Tests named in KNOWN-RED.txt are
-# passed over and printed, so that no known fault is hidden.
+# Runs all tests under the race detector. Skips the tests listed in KNOWN-RED.txt
+# and prints their names, so that known failures stay visible.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -13,6 +13,6 @@
 	fi
 fi
 
-# Four packages at a time: tests over real sockets need processor time within
-# the handshake timeout of a second.
+# At most four packages in parallel: tests over real sockets need enough CPU time
+# to finish a handshake within its timeout of one second.
 go test -race -p 4 -timeout 8m "${skip[@]}" ./...
