--- a/main.go
+++ b/main.go
@@ -1,4 +1,5 @@
-// Command jayspindle is a layer-4 load balancer that answers for outcomes.
+// Command jayspindle runs the programs of a layer-4 load balancer and the
+// commands of its operators.
 package main
 
 import (
