--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -58,7 +58,8 @@
 
 step "the change, and one request hop by hop"
 jayspindle explain -environment production 1
-(cd "$work" && "$binary" trace -request "$traced_class" load.trace balancer-*.trace "$first_service"-*.trace backend-*.trace) |
+(cd "$work" && "$binary" trace -request "$traced_class" load.trace balancer-*.trace "$first_service"-*.trace \
+	backend-*.trace) |
 	head -12 || true
 
 step "$([[ $status == 0 ]] && echo 'every promise was kept' || echo "FAILED: see the table; logs are in $work")"
