--- a/internal/coordination/raft/error.go
+++ b/internal/coordination/raft/error.go
@@ -21,7 +21,7 @@
 	KindQuorum       Kind = "quorum"        // the change would leave too few responsive voters for a quorum
 	KindInvalid      Kind = "invalid"       // invalid argument or malformed message
 	KindForeign      Kind = "foreign"       // message for another replica, cluster or generation
-	KindStored       Kind = "stored"        // the stored state is inconsistent
+	KindCorrupt      Kind = "stored"        // the stored state is inconsistent
 )
 
 // Error is the error type of this package.
--- a/internal/coordination/raft/log.go
+++ b/internal/coordination/raft/log.go
@@ -40,7 +40,7 @@
 	index, term := l.base, l.baseTerm
 	for _, entry := range l.entries {
 		if entry.Index != index+1 || entry.Term < term {
-			return nil, newError("new", KindStored, "entry %d of term %d follows entry %d of term %d",
+			return nil, newError("new", KindCorrupt, "entry %d of term %d follows entry %d of term %d",
 				entry.Index, entry.Term, index, term)
 		}
 
@@ -52,7 +52,7 @@
 	l.commit = max(l.base, stored.HardState.Commit)
 
 	if l.commit > l.last() {
-		return nil, newError("new", KindStored, "commit index %d exceeds the last entry %d", l.commit, l.last())
+		return nil, newError("new", KindCorrupt, "commit index %d exceeds the last entry %d", l.commit, l.last())
 	}
 
 	l.uncommittedBytes = totalBytes(l.entries[l.commit-l.base:])
--- a/internal/coordination/raft/membership.go
+++ b/internal/coordination/raft/membership.go
@@ -211,7 +211,7 @@
 
 		// A short log requires match > 0 too: there the lag is small even if the learner stores nothing.
 		match := n.progress[id].match
-		if lag := n.log.last() - match; match == 0 || lag > n.config.PromoteLag || !n.responsive(id) {
+		if lag := n.log.last() - match; match == 0 || lag > n.config.MaxPromotionLag || !n.responsive(id) {
 			return nil, newError(operation, KindNotCaughtUp, "learner %v lags by %d entries", id, lag)
 		}
 
--- a/internal/coordination/raft/network_test.go
+++ b/internal/coordination/raft/network_test.go
@@ -109,8 +109,8 @@
 	h.log, h.frozen, h.inbox = log, false, nil
 	h.node, err = raft.New(raft.Config{
 		Replica: log.Identity().Replica, Cluster: cluster, Generation: generation, Random: n.random, Now: n.now,
-		ElectionTimeout: electionTimeout, HeartbeatInterval: electionTimeout / 5, KeepEntries: 10,
-		MaxAppendEntries: 7, MaxInflight: 3, ChunkBytes: 5, PromoteLag: 5, MaxApplyEntries: 20,
+		ElectionTimeout: electionTimeout, HeartbeatInterval: electionTimeout / 5, TrailingEntries: 10,
+		MaxAppendEntries: 7, MaxInflightAppends: 3, MaxChunkBytes: 5, MaxPromotionLag: 5, MaxApplyEntries: 20,
 	}, stored)
 	n.check(err)
 
@@ -247,7 +247,7 @@
 }
 
 func (n *network) finishRead(h *host, read raft.Read) {
-	if read.Lost {
+	if read.LeadershipLost {
 		return
 	}
 
--- a/internal/coordination/raft/raft.go
+++ b/internal/coordination/raft/raft.go
@@ -82,19 +82,19 @@
 	Random     *rand.Rand // seeded, for election timeouts
 	Now        time.Time  // start time
 
-	ElectionTimeout   time.Duration // 500 ms; the actual timeout is random, 1 to 2 times this
-	HeartbeatInterval time.Duration // 100 ms; five per election timeout, so one may be lost
-	MaxProposalBytes  int           // 2 MiB; fits a document of 1 MiB and its signatures
-	MaxAppendBytes    int           // 512 KiB of entries in one message; a single larger entry is still sent
-	MaxAppendEntries  int           // 512
-	MaxInflight       int           // 16 unanswered messages with entries per replica
-	MaxUncommitted    int           // 8 MiB of entries that are not committed
-	MaxLogEntries     uint64        // 100,000 entries since the last snapshot
-	MaxApplyEntries   int           // 1,024 committed entries in one Ready
-	MaxReads          int           // 4,096 unconfirmed reads
-	KeepEntries       uint64        // 1,000 entries kept before a snapshot, for replicas that lag slightly
-	PromoteLag        uint64        // 64 entries that a learner may lag behind when it is promoted
-	ChunkBytes        int           // 256 KiB of snapshot data in one message
+	ElectionTimeout     time.Duration // 500 ms; the actual timeout is random, 1 to 2 times this
+	HeartbeatInterval   time.Duration // 100 ms; five per election timeout, so one may be lost
+	MaxProposalBytes    int           // 2 MiB; fits a document of 1 MiB and its signatures
+	MaxAppendBytes      int           // 512 KiB of entries in one message; a single larger entry is still sent
+	MaxAppendEntries    int           // 512
+	MaxInflightAppends  int           // 16 unanswered messages with entries per replica
+	MaxUncommittedBytes int           // 8 MiB of entries that are not committed
+	MaxLogEntries       uint64        // 100,000 entries since the last snapshot
+	MaxApplyEntries     int           // 1,024 committed entries in one Ready
+	MaxPendingReads     int           // 4,096 unconfirmed reads
+	TrailingEntries     uint64        // 1,000 entries kept before a snapshot, for replicas that lag slightly
+	MaxPromotionLag     uint64        // 64 entries that a learner may lag behind when it is promoted
+	MaxChunkBytes       int           // 256 KiB of snapshot data in one message
 }
 
 func setDefault[T comparable](value *T, defaultValue T) {
@@ -110,20 +110,20 @@
 	setDefault(&c.MaxProposalBytes, 2<<20)
 	setDefault(&c.MaxAppendBytes, 512<<10)
 	setDefault(&c.MaxAppendEntries, 512)
-	setDefault(&c.MaxInflight, 16)
-	setDefault(&c.MaxUncommitted, 8<<20)
+	setDefault(&c.MaxInflightAppends, 16)
+	setDefault(&c.MaxUncommittedBytes, 8<<20)
 	setDefault(&c.MaxLogEntries, 100_000)
 	setDefault(&c.MaxApplyEntries, 1024)
-	setDefault(&c.MaxReads, 4096)
-	setDefault(&c.KeepEntries, 1000)
-	setDefault(&c.PromoteLag, 64)
-	setDefault(&c.ChunkBytes, 256<<10)
+	setDefault(&c.MaxPendingReads, 4096)
+	setDefault(&c.TrailingEntries, 1000)
+	setDefault(&c.MaxPromotionLag, 64)
+	setDefault(&c.MaxChunkBytes, 256<<10)
 
 	// Receivers reject larger messages regardless of the sender's configuration.
 	c.MaxAppendEntries = min(c.MaxAppendEntries, MaxMessageEntries)
 	c.MaxProposalBytes = min(c.MaxProposalBytes, MaxMessageBytes/2)
 	c.MaxAppendBytes = min(c.MaxAppendBytes, MaxMessageBytes/2)
-	c.ChunkBytes = min(c.ChunkBytes, MaxMessageBytes/2)
+	c.MaxChunkBytes = min(c.MaxChunkBytes, MaxMessageBytes/2)
 
 	return c
 }
@@ -171,7 +171,7 @@
 }
 
 // New returns a replica that resumes from its stored state. The error kinds
-// are KindInvalid and KindStored.
+// are KindInvalid and KindCorrupt.
 func New(config Config, stored Stored) (*Node, error) {
 	if config.Replica == 0 || config.Random == nil {
 		return nil, newError("new", KindInvalid, "the replica ID or the random source is missing")
@@ -195,7 +195,7 @@
 
 	if stored.Snapshot.Index > 0 {
 		if err := checkMembers(stored.Snapshot.Members); err != nil {
-			return nil, newError("new", KindStored, "snapshot %d: %v", stored.Snapshot.Index, err)
+			return nil, newError("new", KindCorrupt, "snapshot %d: %v", stored.Snapshot.Index, err)
 		}
 
 		n.memberships = membershipHistory{{index: stored.Snapshot.Index, members: stored.Snapshot.Members}}
@@ -203,7 +203,7 @@
 
 	for _, entry := range log.entries {
 		if err := n.recordMembership(entry); err != nil {
-			return nil, newError("new", KindStored, "entry %d: %v", entry.Index, err)
+			return nil, newError("new", KindCorrupt, "entry %d: %v", entry.Index, err)
 		}
 	}
 
--- a/internal/coordination/raft/raft_test.go
+++ b/internal/coordination/raft/raft_test.go
@@ -24,7 +24,7 @@
 // entry of its term yet.
 func (n *network) readyLeader() (*host, map[raft.ReplicaID]raft.Member) {
 	h := n.leader()
-	if h == nil || !h.node.Status().Ready {
+	if h == nil || !h.node.Status().CanServe {
 		return nil, nil
 	}
 
--- a/internal/coordination/raft/read.go
+++ b/internal/coordination/raft/read.go
@@ -10,9 +10,9 @@
 
 // Read is the outcome of a read request.
 type Read struct {
-	ID    uint64
-	Index uint64 // the read reflects all entries up to this index
-	Lost  bool   // the replica no longer leads; retry at the new leader
+	ID             uint64
+	Index          uint64 // the read reflects all entries up to this index
+	LeadershipLost bool   // the replica no longer leads; retry at the new leader
 }
 
 // ReadIndex requests a linearizable read (section 6.4 of the dissertation). The read
@@ -23,7 +23,7 @@
 		return err
 	}
 
-	if len(n.reads) >= n.config.MaxReads {
+	if len(n.reads) >= n.config.MaxPendingReads {
 		return newError("read", KindBusy, "%d reads are unconfirmed", len(n.reads))
 	}
 
@@ -64,7 +64,7 @@
 // dropReads reports all pending reads as lost when the replica stops leading.
 func (n *Node) dropReads() {
 	for _, read := range n.reads {
-		n.readsDone = append(n.readsDone, Read{ID: read.id, Lost: true})
+		n.readsDone = append(n.readsDone, Read{ID: read.id, LeadershipLost: true})
 	}
 
 	n.reads, n.needsHeartbeat = nil, false
--- a/internal/coordination/raft/replicate.go
+++ b/internal/coordination/raft/replicate.go
@@ -24,7 +24,7 @@
 		return 0, 0, newError(operation, KindTooLarge, "%d bytes exceed %d", len(data), n.config.MaxProposalBytes)
 	case n.log.last()-n.log.snapshot.Index >= n.config.MaxLogEntries:
 		return 0, 0, newError(operation, KindBusy, "%d entries since the last snapshot", n.config.MaxLogEntries)
-	case n.log.uncommittedBytes+len(data) > n.config.MaxUncommitted:
+	case n.log.uncommittedBytes+len(data) > n.config.MaxUncommittedBytes:
 		return 0, 0, newError(operation, KindBusy, "%d bytes are uncommitted", n.log.uncommittedBytes)
 	}
 
@@ -63,7 +63,7 @@
 }
 
 func (n *Node) replicateTo(to ReplicaID, p *progress) {
-	for !p.awaitingReply && len(p.inflight) < n.config.MaxInflight {
+	for !p.awaitingReply && len(p.inflight) < n.config.MaxInflightAppends {
 		if p.snapshot != nil || p.next <= n.log.base {
 			n.sendChunk(to, p)
 
--- a/internal/coordination/raft/rules_test.go
+++ b/internal/coordination/raft/rules_test.go
@@ -27,7 +27,7 @@
 
 	s.node, err = raft.New(raft.Config{
 		Replica: 1, Cluster: cluster, Generation: generation, Random: rand.New(rand.NewPCG(1, 1)), Now: s.now,
-		ElectionTimeout: electionTimeout, HeartbeatInterval: electionTimeout / 5, MaxUncommitted: 1000, MaxLogEntries: 20,
+		ElectionTimeout: electionTimeout, HeartbeatInterval: electionTimeout / 5, MaxUncommittedBytes: 1000, MaxLogEntries: 20,
 	}, stored)
 	s.NoErr(err)
 
@@ -161,7 +161,7 @@
 
 // Guards against a leader that counts its own copy of an entry before it is on disk,
 // and against compacting entries that are not on disk yet.
-func TestOwnEntriesCountOnceSaved(t *testing.T) {
+func TestUnsavedEntriesDontCount(t *testing.T) {
 	s := newTestReplica(t, raft.Stored{})
 	term := s.becomeLeader()
 	s.acknowledge(2, 2)
@@ -267,7 +267,7 @@
 
 // Guards against a leader that never learns of a replica with a higher term, and so
 // can't replicate to it.
-func TestStaleLeaderIsTold(t *testing.T) {
+func TestStaleLeaderLearnsHigherTerm(t *testing.T) {
 	s := newTestReplica(t, raft.Stored{HardState: raft.HardState{Term: 5}})
 	answers, _ := s.receive(raft.Message{Kind: raft.MessageHeartbeat, From: 2, Term: 4})
 	s.Equal(len(answers), 1)
--- a/internal/coordination/raft/snapshot.go
+++ b/internal/coordination/raft/snapshot.go
@@ -13,7 +13,7 @@
 }
 
 // Compact creates a snapshot from the application's state after the entry at index and
-// removes the log up to it, except the last KeepEntries entries. The owner saves the
+// removes the log up to it, except the last TrailingEntries entries. The owner saves the
 // returned snapshot and then compacts its write-ahead log. The error kinds are
 // KindInvalid for an index that is not applied yet or already compacted, and
 // KindTooLarge.
@@ -36,7 +36,7 @@
 	}
 
 	snapshot := &Snapshot{Index: index, Term: term, Members: n.memberships.at(index), Data: data}
-	n.log.compact(snapshot, n.config.KeepEntries)
+	n.log.compact(snapshot, n.config.TrailingEntries)
 	n.memberships = n.memberships.compact(index)
 
 	return snapshot, nil
@@ -53,7 +53,7 @@
 	}
 
 	data := p.snapshot.Data
-	end := min(p.offset+uint64(n.config.ChunkBytes), uint64(len(data)))
+	end := min(p.offset+uint64(n.config.MaxChunkBytes), uint64(len(data)))
 	p.awaitingReply = true
 
 	n.send(Message{
--- a/internal/coordination/raft/status.go
+++ b/internal/coordination/raft/status.go
@@ -2,21 +2,21 @@
 
 // Status is the state of a replica for operators.
 type Status struct {
-	Replica       ReplicaID
-	Cluster       ClusterID
-	Generation    uint64
-	Role          Role
-	Leader        ReplicaID // 0 if unknown
-	Term          uint64
-	First         uint64 // first entry that is not compacted
-	Last          uint64
-	Commit        uint64
-	Applied       uint64
-	SnapshotIndex uint64
-	Dropped       uint64 // foreign and malformed messages
-	Transfer      ReplicaID
-	Ready         bool // this replica leads and has committed an entry of its term
-	Members       []MemberStatus
+	Replica        ReplicaID
+	Cluster        ClusterID
+	Generation     uint64
+	Role           Role
+	Leader         ReplicaID // 0 if unknown
+	Term           uint64
+	First          uint64 // first entry that is not compacted
+	Last           uint64
+	Commit         uint64
+	Applied        uint64
+	SnapshotIndex  uint64
+	Dropped        uint64 // foreign and malformed messages
+	TransferTarget ReplicaID
+	CanServe       bool // this replica leads and has committed an entry of its term
+	Members        []MemberStatus
 }
 
 // MemberStatus is the state of a member. Other members' Match, Responsive and Snapshot are
@@ -34,7 +34,7 @@
 		Replica: n.config.Replica, Cluster: n.config.Cluster, Generation: n.config.Generation,
 		Role: n.role, Leader: n.leader, Term: n.term, First: n.log.base + 1, Last: n.log.last(),
 		Commit: n.log.commit, Applied: n.log.delivered, SnapshotIndex: n.log.snapshot.Index,
-		Dropped: n.droppedMessages, Transfer: n.transferTarget, Ready: n.role == Leader && n.hasCommittedOwnTerm(),
+		Dropped: n.droppedMessages, TransferTarget: n.transferTarget, CanServe: n.role == Leader && n.hasCommittedOwnTerm(),
 	}
 
 	for _, member := range n.memberships.current() {
--- a/internal/coordination/raft/workload_test.go
+++ b/internal/coordination/raft/workload_test.go
@@ -81,7 +81,7 @@
 	n.waitUntil("new entries are applied", func() bool {
 		h := n.leader()
 
-		return h != nil && h.node.Status().Ready && h.applied == h.node.Status().Last && h.applied >= target
+		return h != nil && h.node.Status().CanServe && h.applied == h.node.Status().Last && h.applied >= target
 	})
 }
 
--- a/internal/program/controller/event.go
+++ b/internal/program/controller/event.go
@@ -71,7 +71,7 @@
 
 		delete(o.reads, read.ID)
 
-		if read.Lost {
+		if read.LeadershipLost {
 			waiting.onError(o.redirect())
 
 			continue
@@ -180,7 +180,7 @@
 
 func (o *owner) finishTransfer() {
 	status := o.node.Status()
-	if o.transferDone != nil && (status.Role != raft.Leader || status.Transfer == 0) {
+	if o.transferDone != nil && (status.Role != raft.Leader || status.TransferTarget == 0) {
 		close(o.transferDone)
 		o.transferDone = nil
 	}
--- a/internal/program/controller/lead.go
+++ b/internal/program/controller/lead.go
@@ -41,7 +41,7 @@
 // leader.
 func (o *owner) runLeaderTasks(now time.Time) {
 	status := o.node.Status()
-	leading := status.Role == raft.Leader && status.Ready
+	leading := status.Role == raft.Leader && status.CanServe
 
 	if leading != o.leading {
 		o.leading, o.tasks, o.confirmedAt = leading, leaderTasks{keyProposed: make(map[string]bool)}, time.Time{}
@@ -53,7 +53,7 @@
 		}
 	}
 
-	if !leading || status.Transfer != 0 {
+	if !leading || status.TransferTarget != 0 {
 		return
 	}
 
--- a/internal/program/registry/members.go
+++ b/internal/program/registry/members.go
@@ -65,7 +65,7 @@
 		o.logger.Info("leadership changed", "leads", leading, "term", status.Term, "leader", status.Leader.String())
 	}
 
-	if !o.leading || !status.Ready || now.Sub(o.membership.lastCheck) < membershipInterval {
+	if !o.leading || !status.CanServe || now.Sub(o.membership.lastCheck) < membershipInterval {
 		return
 	}
 
--- a/internal/program/registry/operate.go
+++ b/internal/program/registry/operate.go
@@ -198,7 +198,7 @@
 
 		delete(o.reads, read.ID)
 
-		if read.Lost {
+		if read.LeadershipLost {
 			reply <- outcome{err: newError("read", KindUnavailable, errors.New("the leadership was lost"))}
 
 			continue
--- a/internal/program/registry/storage.go
+++ b/internal/program/registry/storage.go
@@ -133,7 +133,7 @@
 		Replica: identity.Replica, Cluster: identity.Cluster, Generation: identity.Generation,
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Now: now,
 		ElectionTimeout: electionTimeout, HeartbeatInterval: heartbeatInterval,
-		MaxProposalBytes: MaxDocumentBytes, MaxAppendBytes: maxMessageBytes, ChunkBytes: maxMessageBytes,
+		MaxProposalBytes: MaxDocumentBytes, MaxAppendBytes: maxMessageBytes, MaxChunkBytes: maxMessageBytes,
 	}, stored)
 	if err != nil {
 		return err
