--- a/internal/coordination/claim/claimant.go
+++ b/internal/coordination/claim/claimant.go
@@ -43,15 +43,15 @@
 
 // The reasons of a Decision.
 const (
-	ReasonClaimed   Reason = "claimed"
-	ReasonCompleted Reason = "completed before"
-	ReasonTooLarge  Reason = "completed before, answer not kept"
-	ReasonLost      Reason = "an earlier run has no known outcome"
-	ReasonHeld      Reason = "claimed by another request"
-	ReasonHolders   Reason = "too few holders answer"
-	ReasonFull      Reason = "no room for claims"
-	ReasonHistory   Reason = "earlier memberships are not known"
-	ReasonReleased  Reason = "given up before hand-over"
+	ReasonClaimed        Reason = "claimed"
+	ReasonCompleted      Reason = "completed before"
+	ReasonTooLarge       Reason = "completed before, answer not kept"
+	ReasonUnknownOutcome Reason = "an earlier run has no known outcome"
+	ReasonHeld           Reason = "claimed by another request"
+	ReasonHolders        Reason = "too few holders answer"
+	ReasonFull           Reason = "no room for claims"
+	ReasonHistory        Reason = "earlier memberships are not known"
+	ReasonReleased       Reason = "given up before hand-over"
 )
 
 // Decision is the result of a claim.
@@ -105,7 +105,7 @@
 		return c
 	}
 
-	c.holderSets = history.Sets(now, key)
+	c.holderSets = history.HolderSets(now, key)
 
 	for _, set := range c.holderSets {
 		for _, seat := range set {
@@ -219,7 +219,7 @@
 		return
 	}
 
-	if reply.Status == Unseated {
+	if reply.Status == NotHolder {
 		return
 	}
 
@@ -294,10 +294,10 @@
 	}
 }
 
-// TakeBack releases a claim after a hand-over that is known not to have run the
+// RevertHandOver releases a claim after a hand-over that is known not to have run the
 // request, for example because every backend server refused it before the
 // start. The caller may then send the request again with the same key.
-func (c *Claimant) TakeBack(now time.Time) {
+func (c *Claimant) RevertHandOver(now time.Time) {
 	invariant.Assert(c.handedOver && c.finalRequest == nil, "claim: only an open hand-over is taken back",
 		slog.String("key", c.key.Token))
 
@@ -313,7 +313,7 @@
 	switch {
 	case reply.Answer.Unknown:
 		c.decision.Verdict = Unknown
-		c.decision.Reason = ReasonLost
+		c.decision.Reason = ReasonUnknownOutcome
 	case reply.Answer.TooLarge:
 		c.decision.Reason = ReasonTooLarge
 	}
@@ -336,7 +336,7 @@
 
 	// If the owner's agent is no longer a member, wait for the remaining holders:
 	// one of them may know how its execution ended.
-	if owner, held := c.conflictingOwner(); c.allReplied() || (held && c.history.Member(owner.Agent)) {
+	if owner, held := c.conflictingOwner(); c.allReplied() || (held && c.history.IsMember(owner.Agent)) {
 		c.decideWithoutMajority(now)
 	}
 }
@@ -359,12 +359,12 @@
 	owner, held := c.conflictingOwner()
 
 	switch {
-	case held && c.history.Member(owner.Agent):
+	case held && c.history.IsMember(owner.Agent):
 		c.endWithoutRun(now, Decision{Verdict: InProgress, Reason: ReasonHeld, Owner: owner})
 	case c.noneRanBefore():
 		c.endWithoutRun(now, Decision{Verdict: NotRun, Reason: c.notRunReason()})
 	case held:
-		c.endWithoutRun(now, Decision{Verdict: Unknown, Reason: ReasonLost, Owner: owner})
+		c.endWithoutRun(now, Decision{Verdict: Unknown, Reason: ReasonUnknownOutcome, Owner: owner})
 	default:
 		c.endWithoutRun(now, Decision{Verdict: Unknown, Reason: ReasonHolders})
 	}
--- a/internal/coordination/claim/claimant_test.go
+++ b/internal/coordination/claim/claimant_test.go
@@ -27,7 +27,7 @@
 func newHistory(agents int) *claim.History {
 	history := claim.NewHistory(start, retention, maxUnconfirmed)
 	history.Observe(start, view.Position{Index: 1}, activeAgents(1, agents))
-	history.AssumeFirst(start)
+	history.AssumeNoEarlierClaims(start)
 	history.Confirm(start)
 
 	return history
@@ -184,11 +184,11 @@
 	is.Equal(claim.Begin(now, key, secondExecution, fresh).Decision().Reason, claim.ReasonHistory)
 
 	behind := newHistory(4)
-	fresh.Merge(now, behind.Past(now))
+	fresh.Merge(now, behind.Snapshot(now))
 	is.True(!fresh.Complete(now)) // memberships between the two are unknown
 
 	behind.Observe(now, view.Position{Index: 5}, activeAgents(1, 5))
-	fresh.Merge(now, behind.Past(now))
+	fresh.Merge(now, behind.Snapshot(now))
 	is.True(fresh.Complete(now))
 	is.True(fresh.Complete(now.Add(maxUnconfirmed)))
 	is.True(!fresh.Complete(now.Add(maxUnconfirmed + 1))) // isolated for too long
@@ -208,7 +208,7 @@
 	changed := 0
 
 	for i := range keys {
-		sets := history.Sets(start.Add(2*time.Second), claim.Key{Service: 1, Token: fmt.Sprint(i)})
+		sets := history.HolderSets(start.Add(2*time.Second), claim.Key{Service: 1, Token: fmt.Sprint(i)})
 		changed += len(sets) - 1
 
 		for _, seat := range sets[0] {
@@ -225,7 +225,7 @@
 		is.True(count > 8 && count < 70) // 30 on average
 	}
 
-	is.Equal(len(newHistory(2).Sets(start, key)[0]), 2) // fewer agents than holders
+	is.Equal(len(newHistory(2).HolderSets(start, key)[0]), 2) // fewer agents than holders
 }
 
 // TestClaimantDies guards against a second run, and against a key that stays
--- a/internal/coordination/claim/history.go
+++ b/internal/coordination/claim/history.go
@@ -135,13 +135,13 @@
 	return len(h.memberships) > 0 && now.Sub(h.completeSince) >= h.window && now.Sub(h.confirmedAt) <= h.maxUnconfirmed
 }
 
-// AssumeFirst declares that no earlier claim exists. It may be called only for
+// AssumeNoEarlierClaims declares that no earlier claim exists. It may be called only for
 // the first agents of a new service, after all members in force have promised
 // not to claim under older memberships. Older memberships whose members are all
 // in the newest one are dropped: while a service starts, its first agent is the
 // only member for a short time, and if it failed, every key would be blocked for
 // the whole window.
-func (h *History) AssumeFirst(now time.Time) {
+func (h *History) AssumeNoEarlierClaims(now time.Time) {
 	h.completeSince = now.Add(-h.window)
 
 	if len(h.memberships) == 0 {
@@ -156,8 +156,8 @@
 	})
 }
 
-// Members returns the number of members in force.
-func (h *History) Members() int {
+// MemberCount returns the number of members in force.
+func (h *History) MemberCount() int {
 	if len(h.memberships) == 0 {
 		return 0
 	}
@@ -181,8 +181,8 @@
 	return seat
 }
 
-// Member reports whether the incarnation is in the membership in force.
-func (h *History) Member(incarnation view.Incarnation) bool {
+// IsMember reports whether the incarnation is in the membership in force.
+func (h *History) IsMember(incarnation view.Incarnation) bool {
 	if len(h.memberships) == 0 {
 		return false
 	}
@@ -192,9 +192,9 @@
 	})
 }
 
-// Sets returns the holder sets of the key, that of the oldest membership first.
+// HolderSets returns the holder sets of the key, that of the oldest membership first.
 // Equal sets appear once.
-func (h *History) Sets(now time.Time, key Key) [][]view.Incarnation {
+func (h *History) HolderSets(now time.Time, key Key) [][]view.Incarnation {
 	h.trim(now)
 
 	var sets [][]view.Incarnation
@@ -266,77 +266,77 @@
 	return xxhash.Sum64(buffer[:6+length])
 }
 
-// Era is one membership of a Past.
-type Era struct {
+// MembershipRecord is one membership of a HistorySnapshot.
+type MembershipRecord struct {
 	Position view.Position `cbor:"1,keyasint"`
 	Members  []Member      `cbor:"2,keyasint"`
 	Replaced bool          `cbor:"3,keyasint"`
 	Age      time.Duration `cbor:"4,keyasint"` // since it was replaced
 }
 
-// Past is the encoded form of a History, which an agent sends to a sibling that
+// HistorySnapshot is the encoded form of a History, which an agent sends to a sibling that
 // has just started.
-type Past struct {
-	Covers time.Duration                         `cbor:"1,keyasint"`
-	Eras   []Era                                 `cbor:"2,keyasint"`
-	Moved  map[view.Incarnation]view.Incarnation `cbor:"3,keyasint,omitempty"`
+type HistorySnapshot struct {
+	CoveredDuration time.Duration                         `cbor:"1,keyasint"`
+	Memberships     []MembershipRecord                    `cbor:"2,keyasint"`
+	Moved           map[view.Incarnation]view.Incarnation `cbor:"3,keyasint,omitempty"`
 }
 
-// Past returns the history in the form that is sent to a sibling.
-func (h *History) Past(now time.Time) Past {
+// Snapshot returns the history in the form that is sent to a sibling.
+func (h *History) Snapshot(now time.Time) HistorySnapshot {
 	h.trim(now)
 
-	past := Past{Covers: now.Sub(h.completeSince), Moved: maps.Clone(h.successors)}
+	snapshot := HistorySnapshot{CoveredDuration: now.Sub(h.completeSince), Moved: maps.Clone(h.successors)}
 	for _, m := range h.memberships {
-		era := Era{Position: m.position, Members: m.members, Replaced: !m.replacedAt.IsZero()}
-		if era.Replaced {
-			era.Age = now.Sub(m.replacedAt)
+		record := MembershipRecord{Position: m.position, Members: m.members, Replaced: !m.replacedAt.IsZero()}
+		if record.Replaced {
+			record.Age = now.Sub(m.replacedAt)
 		}
 
-		past.Eras = append(past.Eras, era)
+		snapshot.Memberships = append(snapshot.Memberships, record)
 	}
 
-	return past
+	return snapshot
 }
 
 // Merge adds the memberships that a sibling has observed. Each of the two may
 // have observed memberships that the other has missed.
-func (h *History) Merge(now time.Time, past Past) {
-	contiguous := h.connectsTo(past.Eras)
+func (h *History) Merge(now time.Time, snapshot HistorySnapshot) {
+	contiguous := h.connectsTo(snapshot.Memberships)
 
-	for _, era := range past.Eras {
-		h.insert(now, era)
+	for _, record := range snapshot.Memberships {
+		h.insert(now, record)
 	}
 
-	for seat, successor := range past.Moved {
+	for seat, successor := range snapshot.Moved {
 		if _, ok := h.successors[seat]; !ok {
 			h.Move(seat, successor)
 		}
 	}
 
-	if since := now.Add(-past.Covers); contiguous && since.Before(h.completeSince) {
+	if since := now.Add(-snapshot.CoveredDuration); contiguous && since.Before(h.completeSince) {
 		h.completeSince = since
 	}
 
 	h.trim(now)
 }
 
-// connectsTo reports whether the eras of a sibling reach the oldest membership
+// connectsTo reports whether the memberships of a sibling reach the oldest membership
 // of h. Otherwise the sibling may be behind, and memberships between the two
 // histories would be missing.
-func (h *History) connectsTo(eras []Era) bool {
-	if len(eras) == 0 || len(h.memberships) == 0 {
+func (h *History) connectsTo(records []MembershipRecord) bool {
+	if len(records) == 0 || len(h.memberships) == 0 {
 		return false
 	}
 
-	newest, oldest := eras[len(eras)-1], h.memberships[0]
+	newest, oldest := records[len(records)-1], h.memberships[0]
 
 	return !newest.Position.Less(oldest.position) || slices.Equal(newest.Members, oldest.members)
 }
 
-// insert adds an era at its position, unless that position is known already.
-func (h *History) insert(now time.Time, era Era) {
-	index, found := slices.BinarySearchFunc(h.memberships, era.Position, func(m membership, position view.Position) int {
+// insert adds a membership at its position, unless that position is known already.
+func (h *History) insert(now time.Time, record MembershipRecord) {
+	index, found := slices.BinarySearchFunc(h.memberships, record.Position, func(m membership, position view.Position) int {
 		switch {
 		case m.position.Less(position):
 			return -1
@@ -346,13 +346,13 @@
 			return 0
 		}
 	})
-	if found || len(era.Members) == 0 {
+	if found || len(record.Members) == 0 {
 		return
 	}
 
-	added := membership{position: era.Position, members: era.Members}
-	if era.Replaced {
-		added.replacedAt = now.Add(-max(era.Age, 0))
+	added := membership{position: record.Position, members: record.Members}
+	if record.Replaced {
+		added.replacedAt = now.Add(-max(record.Age, 0))
 	} else if index < len(h.memberships) {
 		added.replacedAt = now
 	}
--- a/internal/coordination/claim/message.go
+++ b/internal/coordination/claim/message.go
@@ -21,7 +21,7 @@
 	// MaxCapacity is the maximum number of records of a store. More could not be
 	// transferred, because the decoder accepts arrays of at most 65,536 elements.
 	MaxCapacity = 60_000
-	// maxBulkBytes limits an encoded Transfer or Past. It allows for a full store
+	// maxBulkBytes limits an encoded Transfer or HistorySnapshot. It allows for a full store
 	// with answers of the maximum size.
 	maxBulkBytes = MaxCapacity * maxMessageBytes
 )
@@ -78,7 +78,7 @@
 	Free                        // not claimed
 	Full                        // not claimed, and the store has no room for a claim
 	Moved                       // another agent answers for the seat
-	Unseated                    // this agent does not answer for the seat
+	NotHolder                   // this agent does not answer for the seat
 )
 
 // Request is sent by a claimant to the agent that answers for a seat.
@@ -130,7 +130,7 @@
 }()
 
 // Encode returns the CBOR encoding of a message of this package.
-func Encode[M Request | Reply | Transfer | Past](message M) ([]byte, error) {
+func Encode[M Request | Reply | Transfer | HistorySnapshot](message M) ([]byte, error) {
 	encoded, err := cbor.Marshal(message)
 	if err != nil {
 		return nil, newError("encode", KindEncoding, err)
@@ -170,7 +170,7 @@
 
 // Check returns an error for the first invalid field.
 func (r *Reply) Check() error {
-	if r.Status < Granted || r.Status > Unseated {
+	if r.Status < Granted || r.Status > NotHolder {
 		return newError("check reply", KindEncoding, errors.Errorf("status %d is not known", r.Status))
 	}
 
@@ -201,23 +201,23 @@
 	return transfer, nil
 }
 
-// DecodePast decodes and checks a Past.
-func DecodePast(encoded []byte) (Past, error) {
-	past, err := decode[Past](encoded, maxBulkBytes)
+// DecodeHistorySnapshot decodes and checks a HistorySnapshot.
+func DecodeHistorySnapshot(encoded []byte) (HistorySnapshot, error) {
+	snapshot, err := decode[HistorySnapshot](encoded, maxBulkBytes)
 	if err != nil {
-		return Past{}, err
+		return HistorySnapshot{}, err
 	}
 
-	return past, past.Check()
+	return snapshot, snapshot.Check()
 }
 
 // Check returns an error for the first invalid membership. Members must be in
 // ascending order of incarnation, because of equal scores the first one wins.
-func (p *Past) Check() error {
-	for _, era := range p.Eras {
-		sorted := slices.IsSortedFunc(era.Members, func(a, b Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
-		if era.Age < 0 || p.Covers < 0 || len(era.Members) == 0 || !sorted {
-			return newError("check past", KindLimit, errors.Errorf("era at %s is not valid", era.Position))
+func (p *HistorySnapshot) Check() error {
+	for _, record := range p.Memberships {
+		sorted := slices.IsSortedFunc(record.Members, func(a, b Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
+		if record.Age < 0 || p.CoveredDuration < 0 || len(record.Members) == 0 || !sorted {
+			return newError("check past", KindLimit, errors.Errorf("era at %s is not valid", record.Position))
 		}
 	}
 
--- a/internal/coordination/claim/store.go
+++ b/internal/coordination/claim/store.go
@@ -79,7 +79,7 @@
 	}
 
 	if !s.seats[request.Seat] {
-		reply.Status = Unseated
+		reply.Status = NotHolder
 
 		return reply
 	}
--- a/internal/coordination/claim/store_test.go
+++ b/internal/coordination/claim/store_test.go
@@ -104,7 +104,7 @@
 func TestMove(t *testing.T) {
 	from, to := newHolder(t, 10), &holder{Store: claim.NewStore(8, retention, 10), is: is.New(t)}
 	from.expect(start, claim.Grant, firstExecution, claim.Granted)
-	to.expect(start, claim.Grant, secondExecution, claim.Unseated)
+	to.expect(start, claim.Grant, secondExecution, claim.NotHolder)
 
 	transfer, err := from.Export(start.Add(time.Second), 9, 8)
 	from.is.NoErr(err)
@@ -141,9 +141,11 @@
 	request, _ := claim.Encode(claim.Request{Verb: claim.Grant, Seat: 9, Key: key, Execution: firstExecution})
 	reply, _ := claim.Encode(claim.Reply{Status: claim.Held, Seat: 9, Key: key, Owner: secondExecution})
 	transfer, _ := claim.Encode(claim.Transfer{Seat: 9, Records: []claim.Record{{Key: key, Status: claim.Granted}}})
-	past, _ := claim.Encode(claim.Past{Covers: 1, Eras: []claim.Era{{Members: []claim.Member{{Incarnation: 1}}}}})
+	snapshot, _ := claim.Encode(claim.HistorySnapshot{
+		CoveredDuration: 1, Memberships: []claim.MembershipRecord{{Members: []claim.Member{{Incarnation: 1}}}},
+	})
 
-	for _, seed := range [][]byte{request, reply, transfer, past, {0xa1}, {0xbf, 0xff}} {
+	for _, seed := range [][]byte{request, reply, transfer, snapshot, {0xa1}, {0xbf, 0xff}} {
 		f.Add(seed)
 	}
 
@@ -156,7 +158,7 @@
 		}
 
 		if decoded, err := claim.DecodeReply(encoded); err == nil {
-			is.True(decoded.Status >= claim.Granted && decoded.Status <= claim.Unseated)
+			is.True(decoded.Status >= claim.Granted && decoded.Status <= claim.NotHolder)
 			newClaimant(t, decoded.Key, 3).Reply(start, decoded)
 		}
 
@@ -165,7 +167,7 @@
 			is.Equal(store.Import(start, decoded) == nil, store.Len() == len(decoded.Records) && len(decoded.Records) <= 10)
 		}
 
-		if decoded, err := claim.DecodePast(encoded); err == nil {
+		if decoded, err := claim.DecodeHistorySnapshot(encoded); err == nil {
 			claim.NewHistory(start, retention, maxUnconfirmed).Merge(start, decoded)
 		}
 	})
--- a/internal/coordination/rollout/cursor.go
+++ b/internal/coordination/rollout/cursor.go
@@ -73,8 +73,8 @@
 	return updates
 }
 
-// Due returns the time of the next heartbeat.
-func (c *Cursor) Due() time.Time { return c.heartbeatAt }
+// HeartbeatDueAt returns the time of the next heartbeat.
+func (c *Cursor) HeartbeatDueAt() time.Time { return c.heartbeatAt }
 
 // Deltas returns the number of deltas sent so far.
 func (c *Cursor) Deltas() uint64 { return c.deltasSent }
--- a/internal/coordination/rollout/publisher.go
+++ b/internal/coordination/rollout/publisher.go
@@ -121,7 +121,7 @@
 		}
 
 		if len(updates) == 0 {
-			waitForUpdate(ctx, changed, cursor.Due())
+			waitForUpdate(ctx, changed, cursor.HeartbeatDueAt())
 		}
 	}
 
--- a/internal/program/agent/runonce.go
+++ b/internal/program/agent/runonce.go
@@ -78,7 +78,7 @@
 
 	switch outcome.state {
 	case peer.NotRun:
-		c.do(ctx, func(now time.Time) { active.claimant.TakeBack(now) })
+		c.do(ctx, func(now time.Time) { active.claimant.RevertHandOver(now) })
 
 		return outcome
 	case peer.Unknown:
--- a/internal/program/agent/seats.go
+++ b/internal/program/agent/seats.go
@@ -43,23 +43,23 @@
 // historyReply is the membership history of an agent. The history of an agent that
 // has just started is not complete.
 type historyReply struct {
-	Complete bool       `cbor:"1,keyasint"`
-	Past     claim.Past `cbor:"2,keyasint"`
+	Complete bool                  `cbor:"1,keyasint"`
+	Snapshot claim.HistorySnapshot `cbor:"2,keyasint"`
 	// Established agents have run for long enough to have claimed, even if their
 	// history is not complete at the moment.
 	Established bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Check reports the first field that is not allowed.
-func (p *historyReply) Check() error { return p.Past.Check() }
+func (p *historyReply) Check() error { return p.Snapshot.Check() }
 
 // covers reports whether the reply reaches the newest membership of own.
-func (p *historyReply) covers(own claim.Past) bool {
-	if len(p.Past.Eras) == 0 || len(own.Eras) == 0 {
+func (p *historyReply) covers(own claim.HistorySnapshot) bool {
+	if len(p.Snapshot.Memberships) == 0 || len(own.Memberships) == 0 {
 		return false
 	}
 
-	theirs, newest := p.Past.Eras[len(p.Past.Eras)-1], own.Eras[len(own.Eras)-1]
+	theirs, newest := p.Snapshot.Memberships[len(p.Snapshot.Memberships)-1], own.Memberships[len(own.Memberships)-1]
 
 	return !theirs.Position.Less(newest.Position) || slices.Equal(theirs.Members, newest.Members)
 }
@@ -108,10 +108,10 @@
 		}
 
 		reply = historyReply{
-			Complete: c.history.Complete(now) && !c.historyGap, Past: c.history.Past(now), Established: c.established,
+			Complete: c.history.Complete(now) && !c.historyGap, Snapshot: c.history.Snapshot(now), Established: c.established,
 		}
 		// The history may change its map while the reply is being encoded.
-		reply.Past.Moved = maps.Clone(reply.Past.Moved)
+		reply.Snapshot.Moved = maps.Clone(reply.Snapshot.Moved)
 	})
 
 	return &reply
@@ -167,7 +167,7 @@
 // mergeReplies merges the replies of siblings into the history. The position is
 // that of the view under which the siblings were asked.
 func (c *claims) mergeReplies(now time.Time, position view.Position, replies []historyReply, all bool) {
-	own := c.history.Past(now)
+	own := c.history.Snapshot(now)
 	complete := slices.ContainsFunc(replies, func(reply historyReply) bool { return reply.Complete && reply.covers(own) })
 	established := slices.ContainsFunc(replies, func(reply historyReply) bool {
 		return reply.Complete || reply.Established
@@ -175,7 +175,7 @@
 
 	for _, reply := range replies {
 		if reply.Complete || reply.Established {
-			c.history.Merge(now, reply.Past)
+			c.history.Merge(now, reply.Snapshot)
 		}
 	}
 
@@ -185,7 +185,7 @@
 	}
 
 	if all && !established && !c.established && c.canBootstrap(now, position) {
-		c.history.AssumeFirst(now)
+		c.history.AssumeNoEarlierClaims(now)
 	}
 }
 
@@ -197,7 +197,7 @@
 		return false
 	}
 
-	return c.history.Members() >= claim.Holders || now.Sub(c.firstAgentsAt) >= bootstrapTimeout
+	return c.history.MemberCount() >= claim.Holders || now.Sub(c.firstAgentsAt) >= bootstrapTimeout
 }
 
 // fetchHistory fetches the history of a sibling. Each call has its own timeout, so
--- a/internal/testing/measure/claims.go
+++ b/internal/testing/measure/claims.go
@@ -55,7 +55,7 @@
 
 	for _, n := range w.nodes {
 		n.history.Observe(w.now, w.position, slices.Clone(w.agents))
-		n.history.AssumeFirst(w.now)
+		n.history.AssumeNoEarlierClaims(w.now)
 		n.history.Confirm(w.now)
 	}
 
--- a/internal/testing/measure/claims_world.go
+++ b/internal/testing/measure/claims_world.go
@@ -122,7 +122,7 @@
 func (w *claimWorld) learn(n *claimNode) {
 	for _, other := range w.shuffled() {
 		if other != n && w.connected(n, other) && other.history.Complete(w.now) {
-			n.history.Merge(w.now, other.history.Past(w.now))
+			n.history.Merge(w.now, other.history.Snapshot(w.now))
 
 			return
 		}
--- a/internal/testing/measure/executions.go
+++ b/internal/testing/measure/executions.go
@@ -121,7 +121,7 @@
 
 	for _, n := range r.nodes {
 		n.history.Observe(epoch, r.position, slices.Clone(r.agents))
-		n.history.AssumeFirst(epoch)
+		n.history.AssumeNoEarlierClaims(epoch)
 	}
 
 	r.arrivals(r.random, epoch, config.Rate, r.arrive)
@@ -199,7 +199,7 @@
 		r.at(now.Add(2*viewLag), func(now time.Time) {
 			for _, n := range r.nodes {
 				if n != joined && !n.dead {
-					joined.history.Merge(now, n.history.Past(now))
+					joined.history.Merge(now, n.history.Snapshot(now))
 
 					return
 				}
