--- a/internal/coordination/gate/backend.go
+++ b/internal/coordination/gate/backend.go
@@ -13,8 +13,8 @@
 
 // The kinds of errors of this package.
 const (
-	KindForeign ErrorKind = "foreign" // the report is of another service
-	KindInvalid ErrorKind = "invalid" // the report contradicts itself
+	KindWrongService ErrorKind = "foreign" // the report is of another service
+	KindInvalid      ErrorKind = "invalid" // the report contradicts itself
 )
 
 // Error is the error type of this package.
@@ -26,13 +26,13 @@
 
 // Report is a status report of a backend server.
 type Report struct {
-	ID       string
-	Service  string
-	Born     int64  // start time in Unix milliseconds; higher for a later start
-	Sequence uint64 // increases with each report of the same start
-	Slots    uint16 // maximum number of concurrent requests
-	Leaving  bool
-	Cold     time.Duration // how much longer it is slow because it has just started
+	ID              string
+	Service         string
+	StartMillis     int64  // start time in Unix milliseconds; higher for a later start
+	Sequence        uint64 // increases with each report of the same start
+	Slots           uint16 // maximum number of concurrent requests
+	Leaving         bool
+	WarmUpRemaining time.Duration // how much longer it is slow because it has just started
 }
 
 // Outcome tells what a report changed.
@@ -42,7 +42,7 @@
 const (
 	Unchanged Outcome = iota + 1
 	Changed           // the agent's record has to be published again
-	Late              // a newer report or start was received before
+	Outdated          // a newer report or start was received before
 )
 
 type backendState uint8
@@ -59,7 +59,7 @@
 type backend struct {
 	state         backendState
 	id            string
-	born          int64
+	startMillis   int64
 	sequence      uint64
 	slots         uint16
 	coldUntil     time.Time
@@ -70,49 +70,49 @@
 // Report applies a status report of the backend server.
 func (g *Gate) Report(now time.Time, report Report) (Outcome, error) {
 	if report.Service != g.config.Service {
-		return 0, newError("report", KindForeign,
+		return 0, newError("report", KindWrongService,
 			fmt.Errorf("found service %q, this agent serves %q", report.Service, g.config.Service))
 	}
 
-	if report.Slots == 0 || report.Born <= 0 {
-		return 0, newError("report", KindInvalid, fmt.Errorf("found %d slots and start %d", report.Slots, report.Born))
+	if report.Slots == 0 || report.StartMillis <= 0 {
+		return 0, newError("report", KindInvalid, fmt.Errorf("found %d slots and start %d", report.Slots, report.StartMillis))
 	}
 
 	b := &g.backend
 
 	switch {
-	case b.state != unreported && report.Born < b.born:
-		return Late, nil
-	case b.state != unreported && report.Born == b.born && report.Sequence <= b.sequence:
-		return Late, nil
+	case b.state != unreported && report.StartMillis < b.startMillis:
+		return Outdated, nil
+	case b.state != unreported && report.StartMillis == b.startMillis && report.Sequence <= b.sequence:
+		return Outdated, nil
 	}
 
 	previous := *b
 
 	// Flows that were seen before the first report belong to the backend server
 	// that now reports for the first time.
-	if b.born == 0 {
+	if b.startMillis == 0 {
 		for _, h := range g.flows {
-			h.born = report.Born
+			h.backendStart = report.StartMillis
 		}
 	}
 
-	if b.state == unreported || report.Born > b.born {
+	if b.state == unreported || report.StartMillis > b.startMillis {
 		b.seenFromStart = b.state != unreported || g.sawStart(now, report)
 		g.health = health{}
 	}
 
-	b.id, b.born, b.sequence, b.slots, b.lastReport = report.ID, report.Born, report.Sequence, report.Slots, now
-	b.coldUntil = now.Add(report.Cold)
+	b.id, b.startMillis, b.sequence, b.slots, b.lastReport = report.ID, report.StartMillis, report.Sequence, report.Slots, now
+	b.coldUntil = now.Add(report.WarmUpRemaining)
 	b.state = serving
 
 	// Leaving is final for a start of the backend server: it serves again only
 	// after a restart.
-	if report.Leaving || (previous.state == leaving && previous.born == b.born) {
+	if report.Leaving || (previous.state == leaving && previous.startMillis == b.startMillis) {
 		b.state = leaving
 	}
 
-	if b.state != previous.state || b.born != previous.born || b.slots != previous.slots {
+	if b.state != previous.state || b.startMillis != previous.startMillis || b.slots != previous.slots {
 		return Changed, nil
 	}
 
@@ -128,17 +128,17 @@
 		return true
 	}
 
-	age := now.Sub(time.UnixMilli(report.Born))
+	age := now.Sub(time.UnixMilli(report.StartMillis))
 
-	return report.Cold > 0 && age <= now.Sub(g.config.Boot)+startTolerance
+	return report.WarmUpRemaining > 0 && age <= now.Sub(g.config.Boot)+startTolerance
 }
 
-// Leave records that the backend server has ended. A born of 0 means that its
+// MarkEnded records that the backend server has ended. A startMillis of 0 means that its
 // start is not known.
-func (g *Gate) Leave(id string, born int64) Outcome {
+func (g *Gate) MarkEnded(id string, startMillis int64) Outcome {
 	b := &g.backend
-	if (id != b.id && b.state != unreported) || (born != 0 && born < b.born) {
-		return Late
+	if (id != b.id && b.state != unreported) || (startMillis != 0 && startMillis < b.startMillis) {
+		return Outdated
 	}
 
 	if b.state == ended {
--- a/internal/coordination/gate/checkpoint.go
+++ b/internal/coordination/gate/checkpoint.go
@@ -11,42 +11,42 @@
 // flows that carry a single request end sooner.
 const minCheckpointAge = time.Second
 
-// Lasting returns the start time of the backend server and the flows to store in
+// LongLivedFlows returns the start time of the backend server and the flows to store in
 // a checkpoint, which survives the loss of the instance. The value of each flow is
 // the last sequence number that its client acknowledged.
-func (g *Gate) Lasting(now time.Time) (born int64, flows map[flow.Key]uint32) {
+func (g *Gate) LongLivedFlows(now time.Time) (backendStart int64, flows map[flow.Key]uint32) {
 	flows = make(map[flow.Key]uint32, len(g.flows))
 
 	if g.backend.state == ended {
-		return g.backend.born, flows
+		return g.backend.startMillis, flows
 	}
 
 	for key, h := range g.flows {
-		if h.state == open && h.confirmed && h.born == g.backend.born && !h.closedBy[0] && !h.closedBy[1] &&
+		if h.state == open && h.confirmed && h.backendStart == g.backend.startMillis && !h.closedBy[0] && !h.closedBy[1] &&
 			now.Sub(h.addedAt) >= minCheckpointAge {
 			flows[key] = h.acked
 		}
 	}
 
-	return g.backend.born, flows
+	return g.backend.startMillis, flows
 }
 
-// Recover restores the flows of a checkpoint that an earlier start of the agent
+// RecoverFlows restores the flows of a checkpoint that an earlier start of the agent
 // wrote. Flows of an earlier start of the backend server are lost and returned as
-// orphans; those of its current start are tracked again. Recover returns false as
+// orphans; those of its current start are tracked again. RecoverFlows returns false as
 // long as the backend server has not reported.
-func (g *Gate) Recover(now time.Time, memory checkpoint.Memory) (orphans []Orphan, done bool) {
-	if g.backend.born == 0 {
+func (g *Gate) RecoverFlows(now time.Time, restored checkpoint.RestoredFlows) (orphans []Orphan, done bool) {
+	if g.backend.startMillis == 0 {
 		return nil, false
 	}
 
-	if memory.Born > g.backend.born {
+	if restored.BackendStart > g.backend.startMillis {
 		return nil, true // the report is a delayed one of an earlier start
 	}
 
-	lost := memory.Born < g.backend.born || g.backend.state == ended
+	lost := restored.BackendStart < g.backend.startMillis || g.backend.state == ended
 
-	for _, remembered := range memory.Flows {
+	for _, remembered := range restored.Flows {
 		switch {
 		case g.flows[remembered.Key] != nil && g.flows[remembered.Key].state != unverified:
 		case lost:
--- a/internal/coordination/gate/checkpoint_test.go
+++ b/internal/coordination/gate/checkpoint_test.go
@@ -10,27 +10,27 @@
 )
 
 // newMemory returns a checkpoint of the test flow by a backend server started at born.
-func newMemory(born time.Time) checkpoint.Memory {
-	return checkpoint.Memory{Born: born.UnixMilli(), Flows: []checkpoint.Flow{{Key: key, Acknowledged: 5}}}
+func newMemory(born time.Time) checkpoint.RestoredFlows {
+	return checkpoint.RestoredFlows{BackendStart: born.UnixMilli(), Flows: []checkpoint.Flow{{Key: key, Acknowledged: 5}}}
 }
 
-// TestLasting guards against checkpoints that include short-lived flows or flows
+// TestLongLivedFlows guards against checkpoints that include short-lived flows or flows
 // that have ended.
-func TestLasting(t *testing.T) {
+func TestLongLivedFlows(t *testing.T) {
 	b := newBackendFixture(t)
 	b.report(report(start, 1))
 	b.openFlow()
 
-	_, flows := b.gate.Lasting(b.now)
+	_, flows := b.gate.LongLivedFlows(b.now)
 	b.is.Equal(len(flows), 0)
 
-	born, flows := b.gate.Lasting(b.now.Add(time.Second))
+	born, flows := b.gate.LongLivedFlows(b.now.Add(time.Second))
 	b.is.Equal(born, start.UnixMilli())
 	b.is.Equal(flows, map[flow.Key]uint32{key: 5})
 
 	b.fromBackend(flow.Header{Acks: true, Close: true}, gate.ToClient)
 
-	_, flows = b.gate.Lasting(b.now.Add(time.Second))
+	_, flows = b.gate.LongLivedFlows(b.now.Add(time.Second))
 	b.is.Equal(len(flows), 0)
 }
 
@@ -41,7 +41,7 @@
 		b := newBackendFixture(t)
 		b.report(report(start, 1))
 
-		orphans, done := b.gate.Recover(b.now, newMemory(start.Add(-time.Minute)))
+		orphans, done := b.gate.RecoverFlows(b.now, newMemory(start.Add(-time.Minute)))
 		b.is.True(done)
 		b.is.Equal(orphans, []gate.Orphan{{Key: key, Sequence: 5}})
 	})
@@ -50,12 +50,12 @@
 		b := newBackendFixture(t)
 		b.report(report(start.Add(-time.Minute), 70))
 
-		orphans, done := b.gate.Recover(b.now, newMemory(start.Add(-time.Minute)))
+		orphans, done := b.gate.RecoverFlows(b.now, newMemory(start.Add(-time.Minute)))
 		b.is.True(done)
 		b.is.Equal(len(orphans), 0)
 		b.is.Equal(b.gate.Locate(b.now, key), flow.Held)
 
-		_, lasting := b.gate.Lasting(b.now)
+		_, lasting := b.gate.LongLivedFlows(b.now)
 		b.is.Equal(lasting, map[flow.Key]uint32{key: 5})
 
 		// The flow has ended since the checkpoint.
@@ -67,7 +67,7 @@
 
 	t.Run("the backend server has not reported", func(t *testing.T) {
 		b := newBackendFixture(t)
-		_, done := b.gate.Recover(b.now, newMemory(start))
+		_, done := b.gate.RecoverFlows(b.now, newMemory(start))
 		b.is.True(!done)
 	})
 
@@ -76,7 +76,7 @@
 		b.report(report(start, 1))
 		b.openFlow()
 
-		orphans, done := b.gate.Recover(b.now, newMemory(start.Add(-time.Minute)))
+		orphans, done := b.gate.RecoverFlows(b.now, newMemory(start.Add(-time.Minute)))
 		b.is.True(done)
 		b.is.Equal(len(orphans), 0)
 	})
@@ -85,7 +85,7 @@
 		b := newBackendFixture(t)
 		b.report(report(start, 1))
 
-		orphans, done := b.gate.Recover(b.now, newMemory(start.Add(time.Minute)))
+		orphans, done := b.gate.RecoverFlows(b.now, newMemory(start.Add(time.Minute)))
 		b.is.True(done)
 		b.is.Equal(len(orphans), 0)
 	})
--- a/internal/coordination/gate/gate.go
+++ b/internal/coordination/gate/gate.go
@@ -4,13 +4,13 @@
 // # Usage
 //
 //	g := gate.New(gate.Config{Service: service, Boot: now}, observe)
-//	g.Follow(table)
+//	g.SetTable(table)
 //	outcome, err := g.Report(now, report)     // the backend server's status report
 //	decision := g.FromClient(now, forwarder, header, packet)
 //	decision = g.FromBackend(now, header)
 //	started := g.Start(now)                   // after each packet: queued requests that get a slot
 //	answer := g.Locate(now, key)
-//	orphans, done := g.Recover(now, memory)   // flows from before a restart of the agent
+//	orphans, done := g.RecoverFlows(now, restored)// flows from before a restart of the agent
 //
 // # New flows
 //
@@ -90,16 +90,16 @@
 
 // The reasons.
 const (
-	ReasonNone     Reason = ""
-	ReasonUnknown  Reason = "the backend server has not reported recently"
-	ReasonLeaving  Reason = "the backend server is leaving"
-	ReasonEnded    Reason = "the backend server has ended"
-	ReasonNoRoute  Reason = "the document does not allow the service for the address"
-	ReasonFull     Reason = "the backend server cannot accept the flow"
-	ReasonNotHeld  Reason = "the backend server does not hold the flow"
-	ReasonReplaced Reason = "the backend server that held the flow has ended"
-	ReasonStray    Reason = "nobody waits for the packet"
-	ReasonClosed   Reason = "the client closed the flow while its request waited for a slot"
+	ReasonNone        Reason = ""
+	ReasonUnknown     Reason = "the backend server has not reported recently"
+	ReasonLeaving     Reason = "the backend server is leaving"
+	ReasonEnded       Reason = "the backend server has ended"
+	ReasonNoRoute     Reason = "the document does not allow the service for the address"
+	ReasonFull        Reason = "the backend server cannot accept the flow"
+	ReasonNotHeld     Reason = "the backend server does not hold the flow"
+	ReasonReplaced    Reason = "the backend server that held the flow has ended"
+	ReasonUnknownFlow Reason = "nobody waits for the packet"
+	ReasonClosed      Reason = "the client closed the flow while its request waited for a slot"
 )
 
 // Decision tells what to do with one packet and what to report to the forwarder.
@@ -152,8 +152,8 @@
 	}
 }
 
-// Follow makes a document the current one. Older versions are ignored.
-func (g *Gate) Follow(table *route.Table) {
+// SetTable makes a document the current one. Older versions are ignored.
+func (g *Gate) SetTable(table *route.Table) {
 	if table.Version() > g.table.Version() {
 		g.table = table
 	}
@@ -181,7 +181,7 @@
 
 	// Packets of a flow whose backend server has ended must not reach its
 	// successor at the same address.
-	if h != nil && (h.born != g.backend.born || g.backend.state == ended) && h.state != unverified {
+	if h != nil && (h.backendStart != g.backend.startMillis || g.backend.state == ended) && h.state != unverified {
 		g.removeFlow(key, h)
 
 		if !header.Opens() {
@@ -263,7 +263,7 @@
 }
 
 func (g *Gate) addFlow(now time.Time, key flow.Key, state flowState) *heldFlow {
-	h := &heldFlow{state: state, born: g.backend.born, addedAt: now, lastPacket: now}
+	h := &heldFlow{state: state, backendStart: g.backend.startMillis, addedAt: now, lastPacket: now}
 	g.flows[key] = h
 	g.openFlows++
 
@@ -320,7 +320,7 @@
 	case open:
 	}
 
-	h.state, h.lastPacket, h.born = open, now, g.backend.born
+	h.state, h.lastPacket, h.backendStart = open, now, g.backend.startMillis
 	if !header.Accepts() {
 		h.confirmed = true
 	}
@@ -351,7 +351,7 @@
 	if h == nil {
 		g.counters.Stray++
 
-		return Decision{Kind: Drop, Reason: ReasonStray}
+		return Decision{Kind: Drop, Reason: ReasonUnknownFlow}
 	}
 
 	forwarder := h.forwarder
--- a/internal/coordination/gate/gate_test.go
+++ b/internal/coordination/gate/gate_test.go
@@ -49,13 +49,13 @@
 	t.Helper()
 
 	g := gate.New(gate.Config{Service: "desk", Boot: start, ReportInterval: reportInterval}, func(time.Duration) {})
-	g.Follow(table(t, 1, "desk"))
+	g.SetTable(table(t, 1, "desk"))
 
 	return &backendFixture{T: t, is: is.New(t), now: start, gate: g}
 }
 
 func report(born time.Time, sequence uint64) gate.Report {
-	return gate.Report{ID: "a", Service: "desk", Born: born.UnixMilli(), Sequence: sequence, Slots: 3}
+	return gate.Report{ID: "a", Service: "desk", StartMillis: born.UnixMilli(), Sequence: sequence, Slots: 3}
 }
 
 func (b *backendFixture) report(r gate.Report) gate.Outcome {
@@ -136,7 +136,7 @@
 	t.Run("ended", func(t *testing.T) {
 		b := newBackendFixture(t)
 		b.report(report(start, 1))
-		b.gate.Leave("a", 0)
+		b.gate.MarkEnded("a", 0)
 		b.checkRefused(gate.ReasonEnded)
 	})
 
@@ -153,8 +153,8 @@
 	t.Run("route of another service", func(t *testing.T) {
 		b := newBackendFixture(t)
 		b.report(report(start, 1))
-		b.gate.Follow(table(t, 2, "link"))
-		b.gate.Follow(table(t, 1, "desk")) // older
+		b.gate.SetTable(table(t, 2, "link"))
+		b.gate.SetTable(table(t, 1, "desk")) // older
 		b.checkRefused(gate.ReasonNoRoute)
 	})
 
@@ -183,10 +183,10 @@
 	later := start.Add(time.Second)
 	b.is.Equal(b.report(report(later, 4)), gate.Changed)
 	b.is.Equal(b.report(report(later, 5)), gate.Unchanged)
-	b.is.Equal(b.report(report(later, 5)), gate.Late)
-	b.is.Equal(b.report(report(start, 99)), gate.Late) // of the previous start
-	b.is.Equal(b.gate.Leave("a", start.UnixMilli()), gate.Late)
-	b.is.Equal(b.gate.Leave("other", 0), gate.Late)
+	b.is.Equal(b.report(report(later, 5)), gate.Outdated)
+	b.is.Equal(b.report(report(start, 99)), gate.Outdated) // of the previous start
+	b.is.Equal(b.gate.MarkEnded("a", start.UnixMilli()), gate.Outdated)
+	b.is.Equal(b.gate.MarkEnded("other", 0), gate.Outdated)
 
 	// Sequence numbers restart with each start.
 	b.is.Equal(b.report(report(later.Add(time.Second), 1)), gate.Changed)
@@ -285,7 +285,7 @@
 func TestKnows(t *testing.T) {
 	cold := func(born time.Time, sequence uint64) gate.Report {
 		r := report(born, sequence)
-		r.Cold = time.Second
+		r.WarmUpRemaining = time.Second
 
 		return r
 	}
--- a/internal/coordination/gate/held.go
+++ b/internal/coordination/gate/held.go
@@ -18,7 +18,7 @@
 type heldFlow struct {
 	state        flowState
 	confirmed    bool // the client uses the flow, so it is not an unused duplicate at a second backend server
-	born         int64
+	backendStart int64
 	forwarder    flow.Endpoint
 	addedAt      time.Time
 	lastPacket   time.Time
--- a/internal/coordination/gate/lost.go
+++ b/internal/coordination/gate/lost.go
@@ -19,7 +19,7 @@
 	var orphans []Orphan
 
 	for key, h := range g.flows {
-		if (h.born == g.backend.born && g.backend.state != ended) || h.state == unverified {
+		if (h.backendStart == g.backend.startMillis && g.backend.state != ended) || h.state == unverified {
 			continue
 		}
 
@@ -41,7 +41,7 @@
 	h := g.flows[key]
 
 	switch {
-	case h != nil && h.state == open && h.born == g.backend.born && g.backend.state != ended:
+	case h != nil && h.state == open && h.backendStart == g.backend.startMillis && g.backend.state != ended:
 		return flow.Held
 	case h != nil && h.state == opening:
 		return flow.Unsure
--- a/internal/coordination/gate/queue_test.go
+++ b/internal/coordination/gate/queue_test.go
@@ -49,7 +49,7 @@
 		},
 	}})
 	s.is.NoErr(err)
-	s.gate.Follow(table)
+	s.gate.SetTable(table)
 
 	r := report(start, 1)
 	r.Slots = slots
@@ -106,7 +106,7 @@
 func (s *slotFixture) started() []flow.Key {
 	var keys []flow.Key
 
-	for _, started := range s.gate.Start(s.now) {
+	for _, started := range s.gate.StartQueued(s.now) {
 		s.is.True(len(started.Packets) > 0)
 		keys = append(keys, started.Key)
 	}
--- a/internal/coordination/gate/requests.go
+++ b/internal/coordination/gate/requests.go
@@ -66,16 +66,16 @@
 	g.waitingFlows--
 }
 
-// Started is a queued request that has got a slot of the backend server.
-type Started struct {
+// StartedRequest is a queued request that has got a slot of the backend server.
+type StartedRequest struct {
 	Key     flow.Key
 	Packets [][]byte
 	Waited  time.Duration
 }
 
-// Start returns the queued requests that get a slot now.
-func (g *Gate) Start(now time.Time) []Started {
-	var started []Started
+// StartQueued returns the queued requests that get a slot now.
+func (g *Gate) StartQueued(now time.Time) []StartedRequest {
+	var started []StartedRequest
 
 	g.expireOverdue(now)
 
@@ -89,7 +89,7 @@
 		h.request = nil
 		g.startRequest(now, h)
 
-		started = append(started, Started{Key: next.key, Packets: next.packets, Waited: now.Sub(next.arrived)})
+		started = append(started, StartedRequest{Key: next.key, Packets: next.packets, Waited: now.Sub(next.arrived)})
 	}
 
 	return started
--- a/internal/coordination/steering/fixture_test.go
+++ b/internal/coordination/steering/fixture_test.go
@@ -64,7 +64,7 @@
 
 	router := steering.New(steering.Config{Boot: start})
 	f := &fixture{T: t, is: is.New(t), now: start, router: router, flows: map[flow.Endpoint]uint16{}}
-	f.router.Follow(table(t, 1, toService("desk")))
+	f.router.SetTable(table(t, 1, toService("desk")))
 	f.router.Apply(f.now, agents(count, roster.Ready), true)
 	f.router.Confirm(start)
 
--- a/internal/coordination/steering/open.go
+++ b/internal/coordination/steering/open.go
@@ -207,7 +207,7 @@
 	// The first agent that accepts keeps the flow: in most cases its answer also
 	// reaches the client first.
 	if e := r.flows[key]; e != nil && e.state == opening {
-		r.config.Opened(openLifetime - e.openDeadline.Sub(now))
+		r.config.ObserveOpen(openLifetime - e.openDeadline.Sub(now))
 		r.assign(now, key, e, from)
 	}
 
--- a/internal/coordination/steering/open_test.go
+++ b/internal/coordination/steering/open_test.go
@@ -186,7 +186,7 @@
 
 	split := toService("link")
 	split.Targets = []route.Target{{Service: "link", Weight: 1_000_000}, {Service: "desk", Weight: 1}}
-	f.router.Follow(table(t, 2, split))
+	f.router.SetTable(table(t, 2, split))
 
 	f.now = start.Add(time.Minute) // the view is not confirmed
 	f.is.Equal(len(f.router.Packet(f.now, openHeader(client(1)), []byte("open"))), 0)
@@ -250,8 +250,8 @@
 	key := client(1)
 	f.openFlow(key)
 
-	f.router.Follow(table(t, 3))
-	f.router.Follow(table(t, 2, toService("desk")))
+	f.router.SetTable(table(t, 3))
+	f.router.SetTable(table(t, 2, toService("desk")))
 	f.is.Equal(f.router.Version(), uint64(3))
 
 	reset := f.checkOne(f.router.Packet(f.now, requestHeader(key, 77), []byte("request")), steering.Reset)
@@ -265,7 +265,7 @@
 	router := steering.New(steering.Config{Boot: start})
 	is.True(!router.Serving())
 
-	router.Follow(table(t, 1, toService("desk")))
+	router.SetTable(table(t, 1, toService("desk")))
 	router.Apply(start, agents(2, roster.Starting), true)
 	is.True(!router.Serving())
 
--- a/internal/coordination/steering/search_test.go
+++ b/internal/coordination/steering/search_test.go
@@ -140,8 +140,8 @@
 	const link = 4.4e6 / 8
 
 	f := newFixture(t, 0)
-	f.router = steering.New(steering.Config{Boot: start, Link: link})
-	f.router.Follow(table(t, 1, toService("desk")))
+	f.router = steering.New(steering.Config{Boot: start, LinkBytesPerSecond: link})
+	f.router.SetTable(table(t, 1, toService("desk")))
 	f.router.Apply(f.now, agents(65, roster.Ready), true)
 	f.router.Confirm(start)
 
@@ -246,7 +246,7 @@
 			}
 
 			if step%500 == 499 {
-				f.router.Follow(table(t, uint64(2+step), toService([]string{"desk", "link"}[random.IntN(2)])))
+				f.router.SetTable(table(t, uint64(2+step), toService([]string{"desk", "link"}[random.IntN(2)])))
 			}
 		}
 
--- a/internal/coordination/steering/steering.go
+++ b/internal/coordination/steering/steering.go
@@ -4,7 +4,7 @@
 // # Usage
 //
 //	router := steering.New(steering.Config{Zone: zone, Boot: now})
-//	router.Follow(table)                     // the current document
+//	router.SetTable(table)                   // the current document
 //	router.Apply(now, records, complete)     // the agents
 //	for _, action := range router.Packet(now, header, packet) { ... }
 //	for _, action := range router.Tick(now) { ... }
@@ -191,11 +191,11 @@
 
 // Config holds the settings of a Router.
 type Config struct {
-	Zone string
-	Boot time.Time
-	Link float64 // link rate of the instance in bytes per second; 0 if unknown
-	// Opened is called with the time that each new flow took to be accepted.
-	Opened func(elapsed time.Duration)
+	Zone               string
+	Boot               time.Time
+	LinkBytesPerSecond float64 // link rate of the instance in bytes per second; 0 if unknown
+	// ObserveOpen is called with the time that each new flow took to be accepted.
+	ObserveOpen func(elapsed time.Duration)
 }
 
 // Router tracks the flows of one entry instance. It is not safe for concurrent
@@ -217,11 +217,11 @@
 
 // New returns a router without agents and routes.
 func New(config Config) *Router {
-	if config.Opened == nil {
-		config.Opened = func(time.Duration) {}
+	if config.ObserveOpen == nil {
+		config.ObserveOpen = func(time.Duration) {}
 	}
 
-	link := config.Link
+	link := config.LinkBytesPerSecond
 	if link <= 0 {
 		link = defaultLinkBytesPerSecond
 	}
@@ -238,8 +238,8 @@
 	}
 }
 
-// Follow makes a document the current one. Older versions are ignored.
-func (r *Router) Follow(table *route.Table) {
+// SetTable makes a document the current one. Older versions are ignored.
+func (r *Router) SetTable(table *route.Table) {
 	if table.Version() > r.table.Version() {
 		r.table = table
 	}
--- a/internal/program/forwarder/forwarder.go
+++ b/internal/program/forwarder/forwarder.go
@@ -62,8 +62,8 @@
 	// Linger is how long the instance forwards after it reports that it is not
 	// ready: the fabric needs several health checks to take it out of rotation.
 	Linger time.Duration
-	// Link is the bandwidth of the instance in bytes per second; 0 if unknown.
-	Link float64
+	// LinkBytesPerSecond is the bandwidth of the instance in bytes per second; 0 if unknown.
+	LinkBytesPerSecond float64
 }
 
 // Forwarder forwards the packets that arrive at one entry instance.
@@ -102,7 +102,7 @@
 		settings: settings, codec: codec, logger: logger, data: data, control: control, openTimes: openTimes,
 		wake: make(chan struct{}, 1),
 		router: steering.New(steering.Config{
-			Zone: settings.Zone, Boot: time.Now(), Link: settings.Link, Opened: openTimes.Observe,
+			Zone: settings.Zone, Boot: time.Now(), LinkBytesPerSecond: settings.LinkBytesPerSecond, ObserveOpen: openTimes.Observe,
 		}),
 	}
 	f.follower = follower.New(follower.Config{
@@ -338,7 +338,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 
-	e.router.Follow(table)
+	e.router.SetTable(table)
 }
 
 func (e events) Agents(now time.Time, records []roster.Record, whole bool) {
--- a/internal/program/registry/checkpoints.go
+++ b/internal/program/registry/checkpoints.go
@@ -254,7 +254,7 @@
 		return nil
 	}
 
-	return s.conn.Send(from, append([]byte{byte(wire.KindRecalled)}, s.store.Recall(asked.Agent)...))
+	return s.conn.Send(from, append([]byte{byte(wire.KindRecalled)}, s.store.Batches(asked.Agent)...))
 }
 
 // recordPoll records that an instance has polled. The instance is an agent if it
@@ -271,7 +271,7 @@
 	s.contacts.recordPoll(now, instance)
 
 	if agent != nil {
-		s.store.Touch(now, agent.Address)
+		s.store.MarkSeen(now, agent.Address)
 	}
 }
 
--- a/internal/program/registry/checkpoints_test.go
+++ b/internal/program/registry/checkpoints_test.go
@@ -66,7 +66,7 @@
 	c.bootstrap(1)
 
 	agent := newClient(t, c.address(99).AddrPort())
-	batch := checkpoint.Batch{Agent: c.address(99), Born: 5, Epoch: 6, To: 7, Opened: []checkpoint.Flow{
+	batch := checkpoint.Batch{Agent: c.address(99), BackendStart: 5, Epoch: 6, To: 7, Opened: []checkpoint.Flow{
 		{Key: flow.Key{Client: c.address(1), Service: c.address(2)}, Acknowledged: 8},
 	}}
 
@@ -96,7 +96,7 @@
 
 		memory, err := checkpoint.Restore(answer)
 		c.is.NoErr(err)
-		c.is.Equal(memory, checkpoint.Memory{Born: 5, Epoch: 6, Flows: batch.Opened})
+		c.is.Equal(memory, checkpoint.RestoredFlows{BackendStart: 5, Epoch: 6, Flows: batch.Opened})
 
 		return true
 	})
--- a/internal/program/sidecar/checkpointer.go
+++ b/internal/program/sidecar/checkpointer.go
@@ -45,13 +45,13 @@
 	logger   *slog.Logger
 	// recoverFlows restores the flows of a checkpoint. It returns false before the
 	// backend server has reported.
-	recoverFlows func(memory checkpoint.Memory) (done bool)
-	durableFlows func() (born int64, flows map[flow.Key]uint32)
+	recoverFlows   func(memory checkpoint.RestoredFlows) (done bool)
+	longLivedFlows func() (born int64, flows map[flow.Key]uint32)
 
-	mutex           sync.Mutex
-	tracker         *checkpoint.Tracker
-	answered        map[flow.Endpoint]bool // controllers that answered the recall
-	pendingMemories []checkpoint.Memory    // wait for the first report of the backend server
+	mutex        sync.Mutex
+	tracker      *checkpoint.Tracker
+	answered     map[flow.Endpoint]bool     // controllers that answered the recall
+	pendingFlows []checkpoint.RestoredFlows // wait for the first report of the backend server
 }
 
 func newCheckpointer(s *Sidecar) *checkpointer {
@@ -59,7 +59,7 @@
 
 	return &checkpointer{
 		agent: agent, conn: s.control, follower: s.follower, logger: s.logger,
-		recoverFlows: s.recoverFlows, durableFlows: s.durableFlows,
+		recoverFlows: s.recoverFlows, longLivedFlows: s.longLivedFlows,
 		tracker:  checkpoint.NewTracker(agent, uint64(time.Now().UnixMilli())),
 		answered: make(map[flow.Endpoint]bool),
 	}
@@ -93,7 +93,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
-	c.pendingMemories = slices.DeleteFunc(c.pendingMemories, c.recoverFlows)
+	c.pendingFlows = slices.DeleteFunc(c.pendingFlows, c.recoverFlows)
 
 	missing := 0
 
@@ -107,7 +107,7 @@
 		c.send(controller, wire.KindRecall, wire.Recall{Agent: c.agent})
 	}
 
-	return missing == 0 && len(c.pendingMemories) == 0
+	return missing == 0 && len(c.pendingFlows) == 0
 }
 
 func (c *checkpointer) send(to flow.Endpoint, kind wire.Kind, body any) {
@@ -124,7 +124,7 @@
 // sendCheckpoints sends each holder the changes that it lacks. It always returns
 // false, so that repeat calls it until ctx ends.
 func (c *checkpointer) sendCheckpoints() bool {
-	born, flows := c.durableFlows()
+	born, flows := c.longLivedFlows()
 	if born == 0 {
 		return false
 	}
@@ -134,7 +134,7 @@
 
 	// The first report of the backend server may arrive after the replies of all
 	// controllers.
-	c.pendingMemories = slices.DeleteFunc(c.pendingMemories, c.recoverFlows)
+	c.pendingFlows = slices.DeleteFunc(c.pendingFlows, c.recoverFlows)
 
 	c.tracker.Observe(born, flows)
 
@@ -152,7 +152,7 @@
 		}
 	}
 
-	c.tracker.Forget(holders)
+	c.tracker.DropClosed(holders)
 
 	return false
 }
@@ -221,30 +221,30 @@
 		return
 	}
 
-	c.logger.Info("recalled the flows of an earlier start", "controller", controller.String(), "born", memory.Born,
+	c.logger.Info("recalled the flows of an earlier start", "controller", controller.String(), "born", memory.BackendStart,
 		"epoch", memory.Epoch, "flows", len(memory.Flows))
 
 	if !c.recoverFlows(memory) {
-		c.pendingMemories = append(c.pendingMemories, memory)
+		c.pendingFlows = append(c.pendingFlows, memory)
 	}
 }
 
-// durableFlows returns the flows to checkpoint, and the start time of the backend
+// longLivedFlows returns the flows to checkpoint, and the start time of the backend
 // server that they belong to.
-func (s *Sidecar) durableFlows() (born int64, flows map[flow.Key]uint32) {
+func (s *Sidecar) longLivedFlows() (backendStart int64, flows map[flow.Key]uint32) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	return s.gate.Lasting(time.Now())
+	return s.gate.LongLivedFlows(time.Now())
 }
 
 // recoverFlows restores the flows of a checkpoint. The client of a lost flow gets
 // one reset, even if several controllers return the flow.
-func (s *Sidecar) recoverFlows(memory checkpoint.Memory) bool {
+func (s *Sidecar) recoverFlows(restored checkpoint.RestoredFlows) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	orphans, done := s.gate.Recover(time.Now(), memory)
+	orphans, done := s.gate.RecoverFlows(time.Now(), restored)
 	orphans = slices.DeleteFunc(orphans, func(orphan gate.Orphan) bool { return s.notified[orphan.Key] })
 
 	for _, orphan := range orphans {
--- a/internal/program/sidecar/checkpointer_test.go
+++ b/internal/program/sidecar/checkpointer_test.go
@@ -93,7 +93,7 @@
 	is.NoErr(err)
 
 	fake := &fakeController{conn: conn, memory: checkpoint.Batch{
-		Agent: endpoint, Born: 1000, Epoch: 1, To: 3, Opened: []checkpoint.Flow{{Key: key, Acknowledged: 9}},
+		Agent: endpoint, BackendStart: 1000, Epoch: 1, To: 3, Opened: []checkpoint.Flow{{Key: key, Acknowledged: 9}},
 	}}
 
 	go conn.Serve(fake.handle)
@@ -117,7 +117,7 @@
 
 	go func() { ended <- s.Run(ctx) }()
 
-	_, err = s.Report(gate.Report{ID: "a", Service: "desk", Born: 2000, Sequence: 1, Slots: 2})
+	_, err = s.Report(gate.Report{ID: "a", Service: "desk", StartMillis: 2000, Sequence: 1, Slots: 2})
 	is.NoErr(err)
 
 	select {
--- a/internal/program/sidecar/sidecar.go
+++ b/internal/program/sidecar/sidecar.go
@@ -150,24 +150,24 @@
 	switch {
 	case err != nil:
 		s.logger.Warn("refused a report", "id", report.ID, "error", err)
-	case outcome == gate.Late:
-		s.logger.Info("ignored a late report", "id", report.ID, "born", report.Born, "sequence", report.Sequence)
+	case outcome == gate.Outdated:
+		s.logger.Info("ignored a late report", "id", report.ID, "born", report.StartMillis, "sequence", report.Sequence)
 	case outcome == gate.Changed:
-		s.logger.Info("the backend server changed", "id", report.ID, "born", report.Born, "sequence", report.Sequence,
-			"leaving", report.Leaving, "slots", report.Slots, "cold_ms", report.Cold.Milliseconds())
+		s.logger.Info("the backend server changed", "id", report.ID, "born", report.StartMillis, "sequence", report.Sequence,
+			"leaving", report.Leaving, "slots", report.Slots, "cold_ms", report.WarmUpRemaining.Milliseconds())
 		s.follower.Poll()
 	}
 
 	return outcome, err
 }
 
-// Leave records that the backend server has ended its work.
-func (s *Sidecar) Leave(id string, born int64) {
+// BackendEnded records that the backend server has ended its work.
+func (s *Sidecar) BackendEnded(id string, startMillis int64) {
 	s.mutex.Lock()
-	outcome := s.gate.Leave(id, born)
+	outcome := s.gate.MarkEnded(id, startMillis)
 	s.mutex.Unlock()
 
-	s.logger.Info("the backend server announced its end", "id", id, "born", born, "late", outcome == gate.Late)
+	s.logger.Info("the backend server announced its end", "id", id, "born", startMillis, "late", outcome == gate.Outdated)
 
 	if outcome == gate.Changed {
 		s.follower.Poll()
@@ -307,7 +307,7 @@
 // startRequests sends the waiting requests that get a slot to the backend server.
 // The caller holds the mutex.
 func (s *Sidecar) startRequests() {
-	for _, started := range s.gate.Start(time.Now()) {
+	for _, started := range s.gate.StartQueued(time.Now()) {
 		if started.Waited >= slowSlotWait {
 			s.logger.Info("a request waited for a slot", "flow", started.Key.String(),
 				"waited_ms", started.Waited.Milliseconds(), "waiting", s.gate.Load(time.Now()).Waiting)
@@ -411,7 +411,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 
-	e.gate.Follow(table)
+	e.gate.SetTable(table)
 }
 
 func (events) Agents(time.Time, []roster.Record, bool) {}
--- a/internal/state/checkpoint/checkpoint.go
+++ b/internal/state/checkpoint/checkpoint.go
@@ -16,11 +16,11 @@
 //
 //	store := checkpoint.NewStore()
 //	ack, applied := store.Apply(now, batch, encoded)
-//	batches := store.Recall(agent)
+//	batches := store.Batches(agent)
 //
 // A starting agent restores its flows from the batches:
 //
-//	memory, err := checkpoint.Restore(batches)
+//	restored, err := checkpoint.Restore(batches)
 //
 // # Guarantees
 //
@@ -62,12 +62,12 @@
 // Batch holds the changes of an agent's flows from one position to another. If From
 // is 0, it holds all flows.
 type Batch struct {
-	Agent    flow.Endpoint
-	Born     int64  // start of the backend server, Unix milliseconds
-	Epoch    uint64 // identifies the start of the agent; rises with each start
-	From, To uint64
-	Opened   []Flow // opened or changed
-	Closed   []flow.Key
+	Agent        flow.Endpoint
+	BackendStart int64  // start of the backend server, Unix milliseconds
+	Epoch        uint64 // identifies the start of the agent; rises with each start
+	From, To     uint64
+	Opened       []Flow // opened or changed
+	Closed       []flow.Key
 }
 
 const (
@@ -82,7 +82,7 @@
 // Append appends the encoded batch to the buffer.
 func (b Batch) Append(buffer []byte) []byte {
 	buffer = b.Agent.Append(buffer)
-	buffer = binary.LittleEndian.AppendUint64(buffer, uint64(b.Born))
+	buffer = binary.LittleEndian.AppendUint64(buffer, uint64(b.BackendStart))
 	buffer = binary.LittleEndian.AppendUint64(buffer, b.Epoch)
 	buffer = binary.LittleEndian.AppendUint64(buffer, b.From)
 	buffer = binary.LittleEndian.AppendUint64(buffer, b.To)
@@ -108,7 +108,7 @@
 
 	batch.Agent = flow.ParseEndpoint(encoded)
 	encoded = encoded[flow.EndpointBytes:]
-	batch.Born = int64(binary.LittleEndian.Uint64(encoded))
+	batch.BackendStart = int64(binary.LittleEndian.Uint64(encoded))
 	batch.Epoch = binary.LittleEndian.Uint64(encoded[8:])
 	batch.From = binary.LittleEndian.Uint64(encoded[16:])
 	batch.To = binary.LittleEndian.Uint64(encoded[24:])
@@ -135,31 +135,31 @@
 	return batch, encoded, nil
 }
 
-// Memory holds the flows that an agent had before it restarted.
-type Memory struct {
-	Born  int64  // start of the backend server that held the flows
-	Epoch uint64 // epoch of the agent that recorded the flows
-	Flows []Flow
+// RestoredFlows holds the flows that an agent had before it restarted.
+type RestoredFlows struct {
+	BackendStart int64  // start of the backend server that held the flows
+	Epoch        uint64 // epoch of the agent that recorded the flows
+	Flows        []Flow
 }
 
 // Restore applies the encoded batches of an agent in order. Without batches the
 // result is empty.
-func Restore(encoded []byte) (Memory, error) {
-	var memory Memory
+func Restore(encoded []byte) (RestoredFlows, error) {
+	var restored RestoredFlows
 
 	flows := make(map[flow.Key]uint32)
 
 	for len(encoded) > 0 {
 		batch, rest, err := Parse(encoded)
 		if err != nil {
-			return Memory{}, err
+			return RestoredFlows{}, err
 		}
 
 		if batch.From == 0 {
 			clear(flows)
 		}
 
-		memory.Born, memory.Epoch = batch.Born, batch.Epoch
+		restored.BackendStart, restored.Epoch = batch.BackendStart, batch.Epoch
 
 		for _, opened := range batch.Opened {
 			flows[opened.Key] = opened.Acknowledged
@@ -173,8 +173,8 @@
 	}
 
 	for key, acknowledged := range flows {
-		memory.Flows = append(memory.Flows, Flow{Key: key, Acknowledged: acknowledged})
+		restored.Flows = append(restored.Flows, Flow{Key: key, Acknowledged: acknowledged})
 	}
 
-	return memory, nil
+	return restored, nil
 }
--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -65,7 +65,7 @@
 func assertStored(t *testing.T, store *checkpoint.Store, want map[flow.Key]uint32) {
 	t.Helper()
 
-	memory, err := checkpoint.Restore(store.Recall(agent))
+	memory, err := checkpoint.Restore(store.Batches(agent))
 	is.New(t).NoErr(err)
 
 	found := make(map[flow.Key]uint32, len(memory.Flows))
@@ -86,7 +86,7 @@
 		tracker.Observe(backendStart, step)
 		syncController(t, tracker, controller, store)
 		assertStored(t, store, step)
-		tracker.Forget([]flow.Endpoint{controller})
+		tracker.DropClosed([]flow.Endpoint{controller})
 	}
 
 	_, pending := tracker.Batch(controller)
@@ -160,7 +160,7 @@
 			}
 		}
 
-		tracker.Forget([]flow.Endpoint{controller, otherController})
+		tracker.DropClosed([]flow.Endpoint{controller, otherController})
 	}
 
 	for address, store := range stores {
@@ -168,9 +168,9 @@
 			syncController(t, tracker, address, store)
 		}
 
-		memory, err := checkpoint.Restore(store.Recall(agent))
+		memory, err := checkpoint.Restore(store.Batches(agent))
 		is.New(t).NoErr(err)
-		is.New(t).Equal(memory.Born, currentStart)
+		is.New(t).Equal(memory.BackendStart, currentStart)
 		is.New(t).Equal(len(memory.Flows), len(openFlows))
 	}
 }
@@ -205,14 +205,14 @@
 	}
 
 	newer := checkpoint.Batch{
-		Agent: agent, Born: backendStart + 1, Epoch: epoch + 1, To: 5,
+		Agent: agent, BackendStart: backendStart + 1, Epoch: epoch + 1, To: 5,
 		Opened: []checkpoint.Flow{{Key: key(1), Acknowledged: 1}},
 	}
 	is.True(apply(newer))
 	is.True(!apply(newer)) // repeated
-	is.True(!apply(checkpoint.Batch{Agent: agent, Born: backendStart, Epoch: epoch, To: 99}))
-	is.True(!apply(checkpoint.Batch{Agent: agent, Born: backendStart + 1, Epoch: epoch, To: 99}))
-	is.True(!apply(checkpoint.Batch{Agent: agent, Born: backendStart + 1, Epoch: epoch + 1, From: 6, To: 7})) // a gap
+	is.True(!apply(checkpoint.Batch{Agent: agent, BackendStart: backendStart, Epoch: epoch, To: 99}))
+	is.True(!apply(checkpoint.Batch{Agent: agent, BackendStart: backendStart + 1, Epoch: epoch, To: 99}))
+	is.True(!apply(checkpoint.Batch{Agent: agent, BackendStart: backendStart + 1, Epoch: epoch + 1, From: 6, To: 7})) // a gap
 	assertStored(t, store, flows(1))
 }
 
@@ -224,7 +224,7 @@
 	tracker.Observe(backendStart, flows(1))
 	syncController(t, tracker, controller, store)
 
-	store.Touch(start.Add(time.Minute), agent)
+	store.MarkSeen(start.Add(time.Minute), agent)
 	store.Expire(start.Add(2 * time.Minute))
 	assertStored(t, store, flows(1))
 
@@ -243,7 +243,7 @@
 	for number := range 5000 {
 		tracker.Observe(backendStart, flows(number, number+1))
 		syncController(t, tracker, controller, store)
-		tracker.Forget([]flow.Endpoint{controller})
+		tracker.DropClosed([]flow.Endpoint{controller})
 		maxBytes = max(maxBytes, store.Bytes())
 	}
 
@@ -307,7 +307,7 @@
 	d.Limit(10)
 
 	batch := checkpoint.Batch{
-		Agent: agent, Born: backendStart, Epoch: epoch, To: 1, Opened: []checkpoint.Flow{{Key: key(1)}},
+		Agent: agent, BackendStart: backendStart, Epoch: epoch, To: 1, Opened: []checkpoint.Flow{{Key: key(1)}},
 	}
 	is.True(file.Append(batch.Append(nil)) != nil)
 	is.True(file.Rewrite(store) == nil) // the store is empty, so there is nothing to write
@@ -317,7 +317,7 @@
 func TestMalformed(t *testing.T) {
 	is := is.New(t)
 	batch := checkpoint.Batch{
-		Agent: agent, Born: backendStart, Epoch: epoch, To: 1, Opened: []checkpoint.Flow{{Key: key(1)}},
+		Agent: agent, BackendStart: backendStart, Epoch: epoch, To: 1, Opened: []checkpoint.Flow{{Key: key(1)}},
 		Closed: []flow.Key{key(2)},
 	}
 	encoded := batch.Append(nil)
--- a/internal/state/checkpoint/store.go
+++ b/internal/state/checkpoint/store.go
@@ -63,8 +63,8 @@
 	switch {
 	case stored == nil && batch.From > 0:
 		return fullRequest, false
-	case stored != nil && (batch.Born < stored.backendStart ||
-		(batch.Born == stored.backendStart && batch.Epoch < stored.epoch)):
+	case stored != nil && (batch.BackendStart < stored.backendStart ||
+		(batch.BackendStart == stored.backendStart && batch.Epoch < stored.epoch)):
 		return Acknowledgement{Epoch: stored.epoch}, false // the batch is of an earlier start
 	case stored != nil && batch.Epoch == stored.epoch && batch.To <= stored.position:
 		return Acknowledgement{Epoch: stored.epoch, Position: stored.position}, false
@@ -73,9 +73,9 @@
 			s.bytes -= len(stored.encoded)
 		}
 
-		stored = &agentCheckpoint{backendStart: batch.Born, epoch: batch.Epoch, fullBytes: len(encoded)}
+		stored = &agentCheckpoint{backendStart: batch.BackendStart, epoch: batch.Epoch, fullBytes: len(encoded)}
 		s.agents[batch.Agent] = stored
-	case batch.Epoch != stored.epoch || batch.Born != stored.backendStart:
+	case batch.Epoch != stored.epoch || batch.BackendStart != stored.backendStart:
 		return fullRequest, false
 	case batch.From != stored.position:
 		return Acknowledgement{Epoch: stored.epoch, Position: stored.position}, false
@@ -92,8 +92,8 @@
 	return Acknowledgement{Epoch: stored.epoch, Position: stored.position}, true
 }
 
-// Recall returns the batches of an agent.
-func (s *Store) Recall(agent flow.Endpoint) []byte {
+// Batches returns the batches of an agent.
+func (s *Store) Batches(agent flow.Endpoint) []byte {
 	if stored := s.agents[agent]; stored != nil {
 		return stored.encoded
 	}
@@ -111,8 +111,8 @@
 	return all
 }
 
-// Touch records that an agent is reachable.
-func (s *Store) Touch(now time.Time, agent flow.Endpoint) {
+// MarkSeen records that an agent is reachable.
+func (s *Store) MarkSeen(now time.Time, agent flow.Endpoint) {
 	if stored := s.agents[agent]; stored != nil {
 		stored.lastSeen = now
 	}
--- a/internal/state/checkpoint/tracker.go
+++ b/internal/state/checkpoint/tracker.go
@@ -114,7 +114,7 @@
 		from = 0
 	}
 
-	batch := Batch{Agent: t.agent, Born: t.backendStart, Epoch: t.epoch, From: from, To: t.position}
+	batch := Batch{Agent: t.agent, BackendStart: t.backendStart, Epoch: t.epoch, From: from, To: t.position}
 
 	for key, known := range t.flows {
 		if known.position > from {
@@ -133,9 +133,9 @@
 	return batch, true
 }
 
-// Forget drops the closed flows whose end all of these controllers have
+// DropClosed drops the closed flows whose end all of these controllers have
 // acknowledged.
-func (t *Tracker) Forget(controllers []flow.Endpoint) {
+func (t *Tracker) DropClosed(controllers []flow.Endpoint) {
 	minAcked := t.position
 	for _, controller := range controllers {
 		minAcked = min(minAcked, t.acked[controller])
