--- a/internal/coordination/gate/gate.go
+++ b/internal/coordination/gate/gate.go
@@ -8,9 +8,9 @@
 //	outcome, err := g.Report(now, report)     // the backend server's status report
 //	decision := g.FromClient(now, forwarder, header, packet)
 //	decision = g.FromBackend(now, header)
-//	started := g.Start(now)                   // after each packet: queued requests that get a slot
+//	started := g.StartQueued(now)             // after each packet: queued requests that get a slot
 //	answer := g.Locate(now, key)
-//	orphans, done := g.RecoverFlows(now, restored)// flows from before a restart of the agent
+//	orphans, done := g.RecoverFlows(now, restored) // flows from before a restart of the agent
 //
 // # New flows
 //
--- a/internal/program/follower/follower.go
+++ b/internal/program/follower/follower.go
@@ -36,7 +36,7 @@
 	pollInterval = 400 * time.Millisecond
 
 	// eagerPollInterval is the poll interval while the instance has no document or
-	// no settled source.
+	// no ready source.
 	eagerPollInterval = 50 * time.Millisecond
 
 	// minPollInterval is the minimum time between two polls. It limits the polls when
@@ -68,11 +68,11 @@
 // Config holds the dependencies of a Follower.
 type Config struct {
 	Conn   *frag.Conn
-	Boot   uint64 // random for each start of the process
+	BootID uint64 // random for each start of the process
 	Seeds  func() []flow.Endpoint
 	Events Events
-	// Follows is set by instances that need the list of agents.
-	Follows bool
+	// WantsAgents is set by instances that need the list of agents.
+	WantsAgents bool
 	// Announce returns the record that an agent publishes; nil for other instances.
 	Announce func(now time.Time) roster.Record
 	Logger   *slog.Logger
@@ -88,10 +88,10 @@
 	sequence       uint64
 	version        uint64
 	source         flow.Endpoint
-	sourceSettled  bool      // at its last answer the source was in contact with its group and had a complete list
+	sourceReady    bool      // at its last answer the source was in contact with its group and had a complete list
 	epoch          uint64    // of the list of agents, 0 to fetch the whole list
 	position       uint64    // of the last applied change within the epoch
-	listComplete   bool      // the source was settled when the whole list was fetched
+	listComplete   bool      // the source was ready when the whole list was fetched
 	sourceAnswered time.Time // last answer of the source
 	lastAnswer     time.Time // last answer of any controller
 	lastFetch      time.Time // last time a document was requested; zero once one has arrived
@@ -139,9 +139,9 @@
 	}
 }
 
-// Farewell sends a last poll, so that controllers learn at once that an agent stops
+// SendFinalPoll sends a last poll, so that controllers learn at once that an agent stops
 // and in which state.
-func (f *Follower) Farewell() { f.pollAll(time.Now()) }
+func (f *Follower) SendFinalPoll() { f.pollAll(time.Now()) }
 
 // pollAll polls every controller and returns the time until the next poll.
 func (f *Follower) pollAll(now time.Time) time.Duration {
@@ -156,15 +156,15 @@
 		f.config.Logger.Warn("a controller no longer answers",
 			"controller", f.source.String(), "silent_ms", now.Sub(f.sourceAnswered).Milliseconds())
 
-		f.source, f.sourceSettled = flow.Endpoint{}, false
+		f.source, f.sourceReady = flow.Endpoint{}, false
 	}
 
 	f.sequence++
 
-	poll := wire.Poll{Boot: f.config.Boot, Sequence: f.sequence, Version: f.version}
+	poll := wire.Poll{Boot: f.config.BootID, Sequence: f.sequence, Version: f.version}
 	if f.config.Announce != nil {
 		record := f.config.Announce(now)
-		record.Boot = f.config.Boot
+		record.Boot = f.config.BootID
 		poll.Agent = &record
 	}
 
@@ -172,7 +172,7 @@
 		f.pollOne(poll, controller)
 	}
 
-	if !f.sourceSettled || f.version == 0 {
+	if !f.sourceReady || f.version == 0 {
 		return eagerPollInterval
 	}
 
@@ -184,10 +184,10 @@
 // while the source does: with five controllers their answers would be a third of
 // the control traffic in bytes.
 func (f *Follower) pollOne(poll wire.Poll, controller flow.Endpoint) {
-	poll.Quiet = f.sourceSettled && controller != f.source
+	poll.OnlyIfNewer = f.sourceReady && controller != f.source
 
-	if f.config.Follows && controller == f.source {
-		poll.Follows, poll.Epoch, poll.Position = true, f.epoch, f.position
+	if f.config.WantsAgents && controller == f.source {
+		poll.WantsAgents, poll.Epoch, poll.Position = true, f.epoch, f.position
 	}
 
 	f.send(controller.AddrPort(), wire.KindPoll, poll)
@@ -225,7 +225,7 @@
 	now := time.Now()
 
 	switch kind {
-	case wire.KindNews:
+	case wire.KindPollNow:
 		f.handleNews(from)
 	case wire.KindPollReply:
 		reply, err := wire.Decode[wire.PollReply](body)
@@ -268,7 +268,7 @@
 	}
 
 	f.lastAnswer = now
-	if reply.Settled && len(reply.Controllers) > 0 {
+	if reply.Ready && len(reply.Controllers) > 0 {
 		f.controllers = reply.Controllers
 	} else {
 		// The seeds may be the last controllers to start, so the others are polled as
@@ -281,7 +281,7 @@
 		f.send(from, wire.KindFetch, wire.Fetch{Above: f.version})
 	}
 
-	f.chooseSource(now, controller, reply.Settled)
+	f.chooseSource(now, controller, reply.Ready)
 
 	if controller == f.source {
 		f.applySourceReply(now, reply)
@@ -289,40 +289,40 @@
 }
 
 // chooseSource makes a controller the source of the list if there is none, or if
-// the controller is settled and the current source is not.
-func (f *Follower) chooseSource(now time.Time, controller flow.Endpoint, settled bool) {
+// the controller is ready and the current source is not.
+func (f *Follower) chooseSource(now time.Time, controller flow.Endpoint, ready bool) {
 	if controller == f.source {
 		f.sourceAnswered = now
 
-		if f.sourceSettled && !settled {
+		if f.sourceReady && !ready {
 			f.config.Logger.Info("the source lost contact with its group", "controller", controller.String())
 		}
 
-		f.sourceSettled = settled
+		f.sourceReady = ready
 
 		return
 	}
 
-	if f.source != (flow.Endpoint{}) && (f.sourceSettled || !settled) {
+	if f.source != (flow.Endpoint{}) && (f.sourceReady || !ready) {
 		return
 	}
 
-	f.config.Logger.Info("chose a controller as source", "controller", controller.String(), "settled", settled)
+	f.config.Logger.Info("chose a controller as source", "controller", controller.String(), "settled", ready)
 
-	f.source, f.sourceSettled, f.sourceAnswered = controller, settled, now
+	f.source, f.sourceReady, f.sourceAnswered = controller, ready, now
 	f.epoch, f.position, f.listComplete = 0, 0, false
 
-	if f.config.Follows {
+	if f.config.WantsAgents {
 		f.Poll()
 	}
 }
 
 func (f *Follower) applySourceReply(now time.Time, reply wire.PollReply) {
-	if f.config.Follows && reply.Epoch != 0 {
+	if f.config.WantsAgents && reply.Epoch != 0 {
 		f.applyAgents(now, reply)
 	}
 
-	if reply.Settled && reply.Version <= f.version && (!f.config.Follows || f.listComplete) {
+	if reply.Ready && reply.Version <= f.version && (!f.config.WantsAgents || f.listComplete) {
 		f.config.Events.Confirmed(now)
 	}
 }
@@ -331,17 +331,17 @@
 // may not know all agents yet, so its list is merged with the known agents. The
 // whole list is fetched again once it is complete.
 func (f *Follower) applyAgents(now time.Time, reply wire.PollReply) {
-	if reply.Whole && reply.Settled {
+	if reply.Complete && reply.Ready {
 		f.listComplete = true
 	}
 
-	if len(reply.Agents) > 0 || reply.Whole {
-		f.config.Events.Agents(now, reply.Agents, reply.Whole && reply.Settled)
+	if len(reply.Agents) > 0 || reply.Complete {
+		f.config.Events.Agents(now, reply.Agents, reply.Complete && reply.Ready)
 	}
 
 	f.epoch, f.position = reply.Epoch, reply.Position
 
-	if reply.Settled && !f.listComplete {
+	if reply.Ready && !f.listComplete {
 		f.epoch = 0
 		f.Poll()
 	}
--- a/internal/program/forwarder/forwarder.go
+++ b/internal/program/forwarder/forwarder.go
@@ -102,11 +102,12 @@
 		settings: settings, codec: codec, logger: logger, data: data, control: control, openTimes: openTimes,
 		wake: make(chan struct{}, 1),
 		router: steering.New(steering.Config{
-			Zone: settings.Zone, Boot: time.Now(), LinkBytesPerSecond: settings.LinkBytesPerSecond, ObserveOpen: openTimes.Observe,
+			Zone: settings.Zone, Boot: time.Now(), LinkBytesPerSecond: settings.LinkBytesPerSecond,
+			ObserveOpen: openTimes.Observe,
 		}),
 	}
 	f.follower = follower.New(follower.Config{
-		Conn: control, Boot: rand.Uint64(), Seeds: settings.Seeds, Events: events{f}, Follows: true, Logger: logger,
+		Conn: control, BootID: rand.Uint64(), Seeds: settings.Seeds, Events: events{f}, WantsAgents: true, Logger: logger,
 	})
 
 	return f, nil
--- a/internal/program/inspect/inspect.go
+++ b/internal/program/inspect/inspect.go
@@ -207,7 +207,7 @@
 func (i *Inspector) Fleet(ctx context.Context, controllers []flow.Endpoint) *Fleet {
 	i.pollUntil(ctx, func() {
 		for _, controller := range controllers {
-			i.send(controller, wire.KindPoll, wire.Poll{Follows: true})
+			i.send(controller, wire.KindPoll, wire.Poll{WantsAgents: true})
 		}
 	}, func() bool { return len(i.replies) >= len(controllers) })
 
@@ -219,7 +219,7 @@
 	for _, controller := range controllers {
 		reply, answers := i.replies[controller]
 		fleet.Controllers = append(fleet.Controllers, Controller{
-			Address: controller.String(), Answers: answers, Settled: reply.Settled, Version: reply.Version,
+			Address: controller.String(), Answers: answers, Settled: reply.Ready, Version: reply.Version,
 			Agents: len(reply.Agents), Members: len(reply.Controllers),
 		})
 	}
@@ -241,7 +241,7 @@
 	var best wire.PollReply
 
 	for _, reply := range i.replies {
-		if (reply.Settled && !best.Settled) || (reply.Settled == best.Settled && reply.Version > best.Version) {
+		if (reply.Ready && !best.Ready) || (reply.Ready == best.Ready && reply.Version > best.Version) {
 			best = reply
 		}
 	}
--- a/internal/program/registry/checkpoints.go
+++ b/internal/program/registry/checkpoints.go
@@ -99,7 +99,7 @@
 	s.mutex.Unlock()
 
 	for _, instance := range silent {
-		if err := s.conn.Send(instance.AddrPort(), []byte{byte(wire.KindNews)}); err != nil {
+		if err := s.conn.Send(instance.AddrPort(), []byte{byte(wire.KindPollNow)}); err != nil {
 			s.logger.Debug("could not send a notification", "to", instance.String(), "error", err)
 		}
 	}
@@ -239,10 +239,10 @@
 	return s.conn.Send(to, message)
 }
 
-// recall sends an agent its stored checkpoints. There is no answer until the
+// restore sends an agent its stored checkpoints. There is no answer until the
 // directory has been read.
-func (s *checkpointService) recall(from netip.AddrPort, body []byte) error {
-	asked, err := wire.Decode[wire.Recall](body)
+func (s *checkpointService) restore(from netip.AddrPort, body []byte) error {
+	asked, err := wire.Decode[wire.Restore](body)
 	if err != nil {
 		return err
 	}
@@ -254,7 +254,7 @@
 		return nil
 	}
 
-	return s.conn.Send(from, append([]byte{byte(wire.KindRecalled)}, s.store.Batches(asked.Agent)...))
+	return s.conn.Send(from, append([]byte{byte(wire.KindRestoreReply)}, s.store.Batches(asked.Agent)...))
 }
 
 // recordPoll records that an instance has polled. The instance is an agent if it
--- a/internal/program/registry/checkpoints_test.go
+++ b/internal/program/registry/checkpoints_test.go
@@ -85,11 +85,11 @@
 	c.kill(1)
 	c.start(1, "1", false)
 
-	recall, err := wire.Encode(wire.KindRecall, wire.Recall{Agent: c.address(99)})
+	recall, err := wire.Encode(wire.KindRestore, wire.Restore{Agent: c.address(99)})
 	c.is.NoErr(err)
 
 	c.eventually("the flows are recalled", func() bool {
-		answer := agent.request(c.address(1), recall, wire.KindRecalled)
+		answer := agent.request(c.address(1), recall, wire.KindRestoreReply)
 		if answer == nil {
 			return false
 		}
@@ -102,11 +102,11 @@
 	})
 
 	t.Run("another agent", func(*testing.T) {
-		other, err := wire.Encode(wire.KindRecall, wire.Recall{Agent: c.address(98)})
+		other, err := wire.Encode(wire.KindRestore, wire.Restore{Agent: c.address(98)})
 		c.is.NoErr(err)
 
 		c.eventually("there is an answer", func() bool {
-			answer := agent.request(c.address(1), other, wire.KindRecalled)
+			answer := agent.request(c.address(1), other, wire.KindRestoreReply)
 
 			return answer != nil && len(answer) == 0
 		})
@@ -139,7 +139,7 @@
 		instance.mutex.Lock()
 		defer instance.mutex.Unlock()
 
-		_, notified := instance.answers[wire.KindNews]
+		_, notified := instance.answers[wire.KindPollNow]
 
 		return notified
 	})
--- a/internal/program/registry/members.go
+++ b/internal/program/registry/members.go
@@ -184,9 +184,9 @@
 	switch kind {
 	case wire.KindReplicate:
 		err = o.handleReplicate(from, body)
-	case wire.KindEnter:
+	case wire.KindJoin:
 		err = o.handleJoinRequest(from, body)
-	case wire.KindEnterReply:
+	case wire.KindJoinReply:
 		err = o.handleJoinReply(now, body)
 	}
 
@@ -226,7 +226,7 @@
 
 	o.lastJoinRequest = now
 
-	message, err := wire.Encode(wire.KindEnter, wire.Enter{Replica: uint64(o.log.Identity().Replica)})
+	message, err := wire.Encode(wire.KindJoin, wire.Join{Replica: uint64(o.log.Identity().Replica)})
 	if err != nil {
 		o.logger.Error("could not encode a join request", "error", err)
 
@@ -247,13 +247,13 @@
 // handleJoinRequest adds a replica to the group if this one leads, and tells it
 // which controllers it can ask.
 func (o *owner) handleJoinRequest(from netip.AddrPort, body []byte) error {
-	enter, err := wire.Decode[wire.Enter](body)
+	enter, err := wire.Decode[wire.Join](body)
 	if err != nil || o.node == nil {
 		return err
 	}
 
 	status := o.node.Status()
-	reply := wire.EnterReply{Controllers: endpoints(status.Members)}
+	reply := wire.JoinReply{Controllers: endpoints(status.Members)}
 
 	if status.Role == raft.Leader {
 		id := wal.ReplicaID(enter.Replica)
@@ -271,7 +271,7 @@
 		reply.Cluster, reply.Generation = uint64(status.Cluster), status.Generation
 	}
 
-	message, err := wire.Encode(wire.KindEnterReply, reply)
+	message, err := wire.Encode(wire.KindJoinReply, reply)
 	if err != nil {
 		return err
 	}
@@ -281,7 +281,7 @@
 
 // handleJoinReply joins the group that has added this replica.
 func (o *owner) handleJoinReply(now time.Time, body []byte) error {
-	reply, err := wire.Decode[wire.EnterReply](body)
+	reply, err := wire.Decode[wire.JoinReply](body)
 	if err != nil {
 		return err
 	}
--- a/internal/program/registry/registry.go
+++ b/internal/program/registry/registry.go
@@ -255,12 +255,12 @@
 		err = r.handlePoll(from, body)
 	case wire.KindFetch:
 		err = r.handleFetch(from, body)
-	case wire.KindReplicate, wire.KindEnter, wire.KindEnterReply:
+	case wire.KindReplicate, wire.KindJoin, wire.KindJoinReply:
 		r.enqueue(from, kind, append([]byte(nil), body...))
 	case wire.KindCheckpoint:
 		r.checkpoints.enqueue(from, body)
-	case wire.KindRecall:
-		err = r.checkpoints.recall(from, body)
+	case wire.KindRestore:
+		err = r.checkpoints.restore(from, body)
 	default:
 		err = errors.New("unexpected message kind")
 	}
--- a/internal/program/registry/serve.go
+++ b/internal/program/registry/serve.go
@@ -52,10 +52,10 @@
 	r.mutex.Lock()
 	urgent := r.recordPoll(now, from, poll)
 	reply := wire.PollReply{
-		Sequence: poll.Sequence, Version: current.version, Controllers: current.controllers, Settled: r.settled(now, current),
+		Sequence: poll.Sequence, Version: current.version, Controllers: current.controllers, Ready: r.settled(now, current),
 	}
 
-	if poll.Follows {
+	if poll.WantsAgents {
 		r.addAgents(&reply, poll)
 	}
 	r.mutex.Unlock()
@@ -64,7 +64,7 @@
 		r.notifyFollowers(now)
 	}
 
-	if poll.Quiet && current.version <= poll.Version {
+	if poll.OnlyIfNewer && current.version <= poll.Version {
 		return nil
 	}
 
@@ -88,7 +88,7 @@
 	r.checkpoints.recordPoll(now, from, poll.Agent)
 
 	known.lastPoll, known.version = now, poll.Version
-	known.follows = known.follows || poll.Follows
+	known.follows = known.follows || poll.WantsAgents
 
 	if poll.Agent == nil {
 		return false
@@ -123,7 +123,7 @@
 	}
 
 	reply.Epoch = r.agents.Epoch()
-	reply.Whole = position == 0
+	reply.Complete = position == 0
 	reply.Agents, reply.Position = r.agents.Since(position)
 }
 
@@ -156,7 +156,7 @@
 	r.mutex.Unlock()
 
 	for _, address := range addresses {
-		if err := r.conn.Send(address, []byte{byte(wire.KindNews)}); err != nil {
+		if err := r.conn.Send(address, []byte{byte(wire.KindPollNow)}); err != nil {
 			r.logger.Debug("could not send a notification", "to", address, "error", err)
 		}
 	}
--- a/internal/program/sidecar/checkpointer.go
+++ b/internal/program/sidecar/checkpointer.go
@@ -104,7 +104,7 @@
 
 		missing++
 
-		c.send(controller, wire.KindRecall, wire.Recall{Agent: c.agent})
+		c.send(controller, wire.KindRestore, wire.Restore{Agent: c.agent})
 	}
 
 	return missing == 0 && len(c.pendingFlows) == 0
@@ -188,8 +188,8 @@
 		c.mutex.Lock()
 		c.tracker.Acknowledge(controller, acknowledged)
 		c.mutex.Unlock()
-	case wire.KindRecalled:
-		c.handleRecalled(controller, body)
+	case wire.KindRestoreReply:
+		c.handleRestoreReply(controller, body)
 	default:
 		return false
 	}
@@ -197,11 +197,11 @@
 	return true
 }
 
-// handleRecalled applies the checkpoint that a controller returned. Controllers
+// handleRestoreReply applies the checkpoint that a controller returned. Controllers
 // usually return the same checkpoint; one that was partitioned may return an older
 // one.
-func (c *checkpointer) handleRecalled(controller flow.Endpoint, body []byte) {
-	memory, err := checkpoint.Restore(body)
+func (c *checkpointer) handleRestoreReply(controller flow.Endpoint, body []byte) {
+	restored, err := checkpoint.Restore(body)
 	if err != nil {
 		c.logger.Warn("dropped a message", "from", controller.String(), "error", err)
 
@@ -217,15 +217,15 @@
 
 	c.answered[controller] = true
 
-	if len(memory.Flows) == 0 {
+	if len(restored.Flows) == 0 {
 		return
 	}
 
-	c.logger.Info("recalled the flows of an earlier start", "controller", controller.String(), "born", memory.BackendStart,
-		"epoch", memory.Epoch, "flows", len(memory.Flows))
+	c.logger.Info("recalled the flows of an earlier start", "controller", controller.String(), "born", restored.BackendStart,
+		"epoch", restored.Epoch, "flows", len(restored.Flows))
 
-	if !c.recoverFlows(memory) {
-		c.pendingFlows = append(c.pendingFlows, memory)
+	if !c.recoverFlows(restored) {
+		c.pendingFlows = append(c.pendingFlows, restored)
 	}
 }
 
--- a/internal/program/sidecar/checkpointer_test.go
+++ b/internal/program/sidecar/checkpointer_test.go
@@ -62,13 +62,13 @@
 
 	recalls := 0
 	for _, earlier := range c.kinds {
-		if earlier == wire.KindRecall {
+		if earlier == wire.KindRestore {
 			recalls++
 		}
 	}
 
-	if kind == wire.KindRecall && recalls > 3 {
-		_ = c.conn.Send(from, c.memory.Append([]byte{byte(wire.KindRecalled)})) // the agent asks again if the reply is lost
+	if kind == wire.KindRestore && recalls > 3 {
+		_ = c.conn.Send(from, c.memory.Append([]byte{byte(wire.KindRestoreReply)})) // the agent asks again if the reply is lost
 	}
 }
 
@@ -133,7 +133,7 @@
 		}
 	}
 
-	is.True(fake.indexOf(wire.KindRecall) < fake.indexOf(wire.KindCheckpoint))
+	is.True(fake.indexOf(wire.KindRestore) < fake.indexOf(wire.KindCheckpoint))
 
 	stop()
 	is.NoErr(<-ended)
--- a/internal/program/sidecar/sidecar.go
+++ b/internal/program/sidecar/sidecar.go
@@ -109,7 +109,7 @@
 		Service: settings.Service, Boot: time.Now(), ReportInterval: settings.ReportInterval,
 	}, s.replyTimes.Observe)
 	s.follower = follower.New(follower.Config{
-		Conn: s.control, Boot: rand.Uint64(), Seeds: settings.Seeds, Events: events{s}, Announce: s.announce, Logger: logger,
+		Conn: s.control, BootID: rand.Uint64(), Seeds: settings.Seeds, Events: events{s}, Announce: s.announce, Logger: logger,
 	})
 	s.checkpointer = newCheckpointer(s)
 
@@ -208,7 +208,7 @@
 	s.mutex.Lock()
 	s.stopping = true
 	s.mutex.Unlock()
-	s.follower.Farewell()
+	s.follower.SendFinalPoll()
 
 	closeErr := s.close()
 
--- a/internal/protocol/wire/wire.go
+++ b/internal/protocol/wire/wire.go
@@ -34,9 +34,9 @@
 	KindPollReply                    // PollReply
 	KindFetch                        // Fetch, to a controller
 	KindDocument                     // an encoded route.Document
-	KindEnter                        // Enter, to a controller
-	KindEnterReply                   // EnterReply
-	KindNews                         // no body: asks the receiver to poll now
+	KindJoin                         // Join, to a controller
+	KindJoinReply                    // JoinReply
+	KindPollNow                      // no body: asks the receiver to poll now
 	KindAccepted                     // Accepted, to an entry instance
 	KindReturned                     // Returned, to an entry instance
 	KindLocate                       // Locate, to an agent
@@ -44,8 +44,8 @@
 	KindFound                        // Found, to an entry instance
 	KindCheckpoint                   // a checkpoint.Batch, to a controller
 	KindCheckpointed                 // Checkpointed, to an agent
-	KindRecall                       // Recall, to a controller
-	KindRecalled                     // the checkpoint batches of the agent, concatenated
+	KindRestore                      // Restore, to a controller
+	KindRestoreReply                 // the checkpoint batches of the agent, concatenated
 )
 
 // ErrorKind classifies an Error.
@@ -94,16 +94,16 @@
 
 // Poll reports the state of an instance to a controller, several times a second.
 type Poll struct {
-	Boot     uint64         `cbor:"1,keyasint"` // random for each start of the sender
-	Sequence uint64         `cbor:"2,keyasint"` // increases with each poll
-	Version  uint64         `cbor:"3,keyasint"` // of the document that the sender has
-	Agent    *roster.Record `cbor:"4,keyasint,omitempty"`
-	Follows  bool           `cbor:"5,keyasint,omitempty"` // the sender wants the list of agents
-	Epoch    uint64         `cbor:"6,keyasint,omitempty"` // of the list that the sender has
-	Position uint64         `cbor:"7,keyasint,omitempty"` // of the list that the sender has
-	// Quiet asks for a reply only if the controller has a newer document. It is
+	Boot        uint64         `cbor:"1,keyasint"` // random for each start of the sender
+	Sequence    uint64         `cbor:"2,keyasint"` // increases with each poll
+	Version     uint64         `cbor:"3,keyasint"` // of the document that the sender has
+	Agent       *roster.Record `cbor:"4,keyasint,omitempty"`
+	WantsAgents bool           `cbor:"5,keyasint,omitempty"` // the sender wants the list of agents
+	Epoch       uint64         `cbor:"6,keyasint,omitempty"` // of the list that the sender has
+	Position    uint64         `cbor:"7,keyasint,omitempty"` // of the list that the sender has
+	// OnlyIfNewer asks for a reply only if the controller has a newer document. It is
 	// set if the sender follows another controller.
-	Quiet bool `cbor:"8,keyasint,omitempty"`
+	OnlyIfNewer bool `cbor:"8,keyasint,omitempty"`
 }
 
 // PollReply answers a Poll.
@@ -111,12 +111,12 @@
 	Sequence    uint64          `cbor:"1,keyasint"`
 	Version     uint64          `cbor:"2,keyasint"` // of the newest document that the controller has
 	Controllers []flow.Endpoint `cbor:"3,keyasint"` // all controllers of the group
-	// Settled reports whether the controller is in contact with the group and its
+	// Ready reports whether the controller is in contact with the group and its
 	// document and list are complete.
-	Settled  bool            `cbor:"4,keyasint,omitempty"`
+	Ready    bool            `cbor:"4,keyasint,omitempty"`
 	Epoch    uint64          `cbor:"5,keyasint,omitempty"`
 	Position uint64          `cbor:"6,keyasint,omitempty"`
-	Whole    bool            `cbor:"7,keyasint,omitempty"` // Agents is the complete list, not only the changes
+	Complete bool            `cbor:"7,keyasint,omitempty"` // Agents is the complete list, not only the changes
 	Agents   []roster.Record `cbor:"8,keyasint,omitempty"`
 }
 
@@ -125,13 +125,13 @@
 	Above uint64 `cbor:"1,keyasint"` // the version that the sender has
 }
 
-// Enter asks a controller to add the sender to the group.
-type Enter struct {
+// Join asks a controller to add the sender to the group.
+type Join struct {
 	Replica uint64 `cbor:"1,keyasint"`
 }
 
-// EnterReply tells the sender of an Enter about the group.
-type EnterReply struct {
+// JoinReply tells the sender of a Join about the group.
+type JoinReply struct {
 	Cluster     uint64          `cbor:"1,keyasint"` // 0 if the reply only lists the controllers
 	Generation  uint64          `cbor:"2,keyasint"`
 	Controllers []flow.Endpoint `cbor:"3,keyasint"`
@@ -227,9 +227,9 @@
 	return Found{Key: flow.ParseKey(body)}, nil
 }
 
-// Recall asks a controller for the checkpointed flows that the sender had before
+// Restore asks a controller for the checkpointed flows that the sender had before
 // it restarted.
-type Recall struct {
+type Restore struct {
 	Agent flow.Endpoint `cbor:"1,keyasint"` // address at which the sender receives the packets of clients
 }
 
