--- a/internal/cli/cmd/load.go
+++ b/internal/cli/cmd/load.go
@@ -59,7 +59,7 @@
 		},
 	}.execute(ctx, c.settings)
 
-	if status == exitOK && !result.Kept() {
+	if status == exitOK && !result.Passed() {
 		return exitCheck
 	}
 
--- a/internal/program/agent/agent.go
+++ b/internal/program/agent/agent.go
@@ -97,7 +97,7 @@
 		logger:     observed.Logger(),
 		serviceKey: key,
 		gate:       newGate(admission.Policy{Slots: 1}),
-		backend:    newBackendServer(config.Backend, config.HealthPath, config.BackendSilent),
+		backend:    newBackendServer(config.Backend, config.HealthPath, config.BackendResponseTimeout),
 		siblings:   newSiblings(store, config.Instance.Environment, rand.New(rand.NewPCG(random.Uint64(), 0))),
 	}
 	a.matcher.Store(document.NewMatcher(nil))
@@ -121,7 +121,7 @@
 	a.claims = newClaims(claimOptions{
 		service:       config.Service,
 		zone:          config.Instance.Zone,
-		capacity:      config.ClaimsAtMost,
+		capacity:      config.MaxClaims,
 		self:          a.member.Incarnation,
 		serviceID:     func() view.ServiceID { return view.ServiceID(a.serviceID.Load()) },
 		viewConfirmed: a.member.Confirmed,
@@ -267,7 +267,7 @@
 	defer a.member.Close()
 	defer a.siblings.close()
 
-	if err := a.member.Wait(ctx); err != nil {
+	if err := a.member.WaitReady(ctx); err != nil {
 		return errors.Trace(err)
 	}
 
--- a/internal/program/agent/claims_test.go
+++ b/internal/program/agent/claims_test.go
@@ -395,9 +395,9 @@
 	})
 }
 
-// TestLoneAgent guards against a service of one agent that never accepts
+// TestSingleAgentService guards against a service of one agent that never accepts
 // non-idempotent requests because it waits for more agents.
-func TestLoneAgent(t *testing.T) {
+func TestSingleAgentService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1, 1)
 		defer f.close()
--- a/internal/program/agent/feeds_test.go
+++ b/internal/program/agent/feeds_test.go
@@ -148,7 +148,7 @@
 }
 
 // Guards against a truncated answer that the caller takes for a complete one.
-func TestCutAnswer(t *testing.T) {
+func TestTruncatedAnswer(t *testing.T) {
 	h := &handler{logger: slog.New(slog.DiscardHandler)}
 	defer func() { is.New(t).Equal(recover(), http.ErrAbortHandler) }()
 
--- a/internal/program/agent/fleet_test.go
+++ b/internal/program/agent/fleet_test.go
@@ -289,7 +289,7 @@
 	program, err := agent.New(agent.Settings{
 		Instance: d.instance(name, number), Identity: d.issue(identity.RoleAgent, name),
 		Upstreams: []netip.AddrPort{d.upstream}, Service: service, ServiceKey: d.path("service.key"),
-		CallerTLS: agent.TLS{Certificate: d.path("service.pem"), Key: d.path("service.key")},
+		CallerTLS: agent.CertificateFiles{Certificate: d.path("service.pem"), Key: d.path("service.key")},
 		Data:      d.freeAddress("udp"), Peer: d.freeAddress("udp"), Backend: listen, HealthPath: "/healthz",
 		DrainTimeout: time.Second,
 	}, observed)
@@ -370,11 +370,11 @@
 	result, err := client.Run(ctx)
 	is.NoErr(err)
 
-	if !result.Kept() {
+	if !result.Passed() {
 		result.WriteTable(t.Output())
 	}
 
-	is.True(result.Kept())
+	is.True(result.Passed())
 	is.True(result.FeedMoves > 0)
 	is.True(result.FeedEvents > 0)
 
--- a/internal/program/backend/backend.go
+++ b/internal/program/backend/backend.go
@@ -158,8 +158,8 @@
 	return mux
 }
 
-// Report is the response body of /healthz.
-type Report struct {
+// HealthReport is the response body of /healthz.
+type HealthReport struct {
 	Slots  int   `json:"slots"`
 	Busy   int   `json:"busy"`
 	Runs   int64 `json:"runs"`
@@ -168,7 +168,7 @@
 }
 
 func (s *Server) handleHealth(response http.ResponseWriter, _ *http.Request) {
-	report := Report{
+	report := HealthReport{
 		Slots:  s.config.Slots,
 		Busy:   len(s.slots),
 		Runs:   s.runs.Load(),
--- a/internal/program/balancer/balancer.go
+++ b/internal/program/balancer/balancer.go
@@ -155,7 +155,7 @@
 	tasks.Go(func() { b.member.Run(runCtx) })
 	tasks.Go(func() { b.relay.run(runCtx) })
 
-	if err := b.member.Wait(ctx); err != nil {
+	if err := b.member.WaitReady(ctx); err != nil {
 		for _, socket := range b.data {
 			_ = socket.Close() // no datagram was served yet
 		}
--- a/internal/program/controller/controller_test.go
+++ b/internal/program/controller/controller_test.go
@@ -93,7 +93,7 @@
 
 // Guards against a second group created by a controller that lost its disk, and
 // against a controller that cannot rejoin after that.
-func TestLostDisk(t *testing.T) {
+func TestRejoinAfterDiskLoss(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 3)
 	g.acceptDocument(g.operator(), 0, "change-1", newDocument(g.owners["ann"].PublicKey(), 3))
@@ -126,7 +126,7 @@
 
 // Guards against an isolated controller that answers reads from outdated state, or
 // that presents its views as confirmed.
-func TestCutController(t *testing.T) {
+func TestIsolatedController(t *testing.T) {
 	for name, pick := range map[string]func(*testGroup) int{
 		"follower": (*testGroup).follower, "leader": (*testGroup).leader,
 	} {
@@ -190,7 +190,7 @@
 
 // Guards against two pending changes after concurrent submits, and against a
 // conflict that does not name the change that won.
-func TestRacingSubmits(t *testing.T) {
+func TestConcurrentSubmits(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 3)
 	replies := make(chan control.ChangeReply, 2)
@@ -218,7 +218,7 @@
 
 // Guards against an agent that stays active without a lease, against an agent that
 // expires although it renews its lease, and against unauthorised calls.
-func TestMembership(t *testing.T) {
+func TestAgentMembership(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(t, 1)
 	operator := g.operator()
--- a/internal/program/controller/lead_test.go
+++ b/internal/program/controller/lead_test.go
@@ -10,7 +10,7 @@
 
 // Guards against suspended members that get a lease without a new announcement:
 // they would renew the lease, never announce themselves and stay suspended.
-func TestMembers(t *testing.T) {
+func TestLeaseHolders(t *testing.T) {
 	current := view.New(view.Contents{
 		Agents: []view.Agent{
 			{Incarnation: 1, State: view.Active},
--- a/internal/program/forwarder/forwarder.go
+++ b/internal/program/forwarder/forwarder.go
@@ -54,11 +54,11 @@
 
 // Settings configures an entry instance.
 type Settings struct {
-	Zone       string
-	Data       netip.AddrPort // receives the packets of clients
-	Inner      netip.AddrPort // receives control messages from other processes
-	ClientPort uint16         // UDP port at which clients receive packets
-	Seeds      func() []flow.Endpoint
+	Zone           string
+	Data           netip.AddrPort // receives the packets of clients
+	ControlAddress netip.AddrPort // receives control messages from other processes
+	ClientPort     uint16         // UDP port at which clients receive packets
+	Seeds          func() []flow.Endpoint
 	// Linger is how long the instance forwards after it reports that it is not
 	// ready: the fabric needs several health checks to take it out of rotation.
 	Linger time.Duration
@@ -92,7 +92,7 @@
 		return nil, newError("listen", KindListen, err)
 	}
 
-	control, err := frag.Listen(settings.Inner, logger)
+	control, err := frag.Listen(settings.ControlAddress, logger)
 	if err != nil {
 		return nil, errors.Join(newError("listen", KindListen, err), data.Close())
 	}
@@ -288,7 +288,7 @@
 		err = f.data.Send(f.buffer, client)
 	case steering.Locate:
 		f.buffer = wire.Locate{ID: action.Question.ID, Keys: action.Question.Keys}.Append(f.buffer[:0])
-		agent := netip.AddrPortFrom(action.To.Addr(), f.settings.Inner.Port())
+		agent := netip.AddrPortFrom(action.To.Addr(), f.settings.ControlAddress.Port())
 		err = f.control.Send(agent, f.buffer)
 	}
 
--- a/internal/program/inspect/inspect.go
+++ b/internal/program/inspect/inspect.go
@@ -85,24 +85,24 @@
 	Weight  uint32 `json:"weight"`
 }
 
-// Holding is what an agent reports about a flow.
-type Holding struct {
+// FlowAnswer is what an agent reports about a flow.
+type FlowAnswer struct {
 	Agent
 	Answer string `json:"answer"` // "holds the flow", "does not hold it", "does not know" or "no answer"
 }
 
 // Flow is what controllers and agents report about a flow.
 type Flow struct {
-	Flow    string    `json:"flow"`
-	Version uint64    `json:"version"` // of the document in force
-	Route   string    `json:"route"`   // empty if the document has none for the address
-	Targets []Target  `json:"targets"`
-	Agents  []Holding `json:"agents"`
+	Flow    string       `json:"flow"`
+	Version uint64       `json:"version"` // of the document in force
+	Route   string       `json:"route"`   // empty if the document has none for the address
+	Targets []Target     `json:"targets"`
+	Agents  []FlowAnswer `json:"agents"`
 }
 
 // Held reports whether an agent holds the flow.
 func (f *Flow) Held() bool {
-	return slices.ContainsFunc(f.Agents, func(h Holding) bool { return h.Answer == answerText(flow.Held) })
+	return slices.ContainsFunc(f.Agents, func(h FlowAnswer) bool { return h.Answer == answerText(flow.Held) })
 }
 
 // Inspector sends questions and collects the answers.
@@ -311,7 +311,7 @@
 
 	for _, record := range newest.Agents {
 		answer := i.locateAnswers[flow.Endpoint{IP: record.Address.IP, Port: port}]
-		found.Agents = append(found.Agents, Holding{Agent: newAgent(record), Answer: answerText(answer)})
+		found.Agents = append(found.Agents, FlowAnswer{Agent: newAgent(record), Answer: answerText(answer)})
 	}
 
 	return found
--- a/internal/program/inspect/inspect_test.go
+++ b/internal/program/inspect/inspect_test.go
@@ -86,7 +86,7 @@
 	}
 
 	r, err := registry.New(registry.Settings{
-		Inner: controller.AddrPort(), Directory: t.TempDir(), Seeds: seeds, First: true,
+		ControlAddress: controller.AddrPort(), Directory: t.TempDir(), Seeds: seeds, Bootstrap: true,
 	}, interpret, logger)
 	is.NoErr(err)
 	run(t, r)
@@ -112,7 +112,7 @@
 	s, err := sidecar.New(sidecar.Settings{
 		Zone: "north", Service: "desk", Data: netip.AddrPortFrom(agent, dataPort),
 		Outbound: netip.AddrPortFrom(agent, 22_102), Backend: netip.AddrPortFrom(agent, 22_103),
-		Inner: netip.AddrPortFrom(agent, innerPort), ClientPort: dataPort, Seeds: seeds, ReportInterval: time.Minute,
+		ControlAddress: netip.AddrPortFrom(agent, innerPort), ClientPort: dataPort, Seeds: seeds, ReportInterval: time.Minute,
 	}, noopCodec{}, logger)
 	is.NoErr(err)
 	run(t, s)
--- a/internal/program/load/load_test.go
+++ b/internal/program/load/load_test.go
@@ -77,7 +77,7 @@
 	is.Equal(result.Lost, int64(1))
 	is.Equal(result.RanAfterRefusal, int64(1))
 	is.Equal(result.Classes[0].Requests, int64(7))
-	is.True(!result.Kept())
+	is.True(!result.Passed())
 	is.Equal(count(nil).Lost, int64(0)) // nothing is compared without ledgers
 
 	for _, counter := range []func(*Result) *int64{
@@ -90,9 +90,9 @@
 		func(r *Result) *int64 { return &r.RanAfterRefusal },
 	} {
 		bad := newResult()
-		is.True(bad.Kept())
+		is.True(bad.Passed())
 		bad.add(counter(bad))
-		is.True(!bad.Kept()) // each fault counts
+		is.True(!bad.Passed()) // each fault counts
 	}
 }
 
--- a/internal/program/load/result.go
+++ b/internal/program/load/result.go
@@ -261,9 +261,9 @@
 	return float64(microseconds) / float64(time.Millisecond/time.Microsecond)
 }
 
-// Kept reports whether no flow broke, no feed lost or repeated an event, and
+// Passed reports whether no flow broke, no feed lost or repeated an event, and
 // no request ran twice, was lost, or ran after it was refused with "not run".
-func (r *Result) Kept() bool {
+func (r *Result) Passed() bool {
 	broken := r.BrokenFlows + r.FeedGaps + r.FeedDuplicates + r.FeedStalls + r.RunTwice + r.Lost + r.RanAfterRefusal
 	for _, class := range r.Classes {
 		broken += class.Mismatched + class.Failed
--- a/internal/program/member/member.go
+++ b/internal/program/member/member.go
@@ -6,7 +6,7 @@
 //
 //	member := member.New(options)
 //	group.Go(func() { member.Run(ctx) })
-//	if err := member.Wait(ctx); err != nil {
+//	if err := member.WaitReady(ctx); err != nil {
 //		return err
 //	}
 //	current := member.View()
@@ -175,7 +175,7 @@
 	return now.Sub(time.Unix(0, m.confirmed.Load())) <= rollout.ConfirmationLimit
 }
 
-// checkReady releases Wait once the view in force contains the instance. An older
+// checkReady releases WaitReady once the view in force contains the instance. An older
 // view may lack its service or its keys.
 func (m *Member) checkReady() {
 	current, own := m.View(), m.Incarnation()
@@ -191,8 +191,8 @@
 	}
 }
 
-// Wait returns once a view that contains the instance is in force.
-func (m *Member) Wait(ctx context.Context) error {
+// WaitReady returns once a view that contains the instance is in force.
+func (m *Member) WaitReady(ctx context.Context) error {
 	select {
 	case <-m.ready:
 		return nil
@@ -202,7 +202,7 @@
 }
 
 // View returns the view in force, or nil if there is none yet. There is one once
-// Wait has returned without an error.
+// WaitReady has returned without an error.
 func (m *Member) View() *view.View {
 	current := m.current.Load()
 	if current == nil {
@@ -213,7 +213,7 @@
 }
 
 // Incarnation returns the incarnation of the instance, or 0 if none is assigned
-// yet. One is assigned once Wait has returned without an error.
+// yet. One is assigned once WaitReady has returned without an error.
 func (m *Member) Incarnation() view.Incarnation { return view.Incarnation(m.incarnation.Load()) }
 
 // Replaced returns a channel that is closed when the controllers have assigned
--- a/internal/program/registry/checkpoints_test.go
+++ b/internal/program/registry/checkpoints_test.go
@@ -113,10 +113,10 @@
 	})
 }
 
-// TestCall guards against instances that wait for their seeds although another
+// TestNotifyAfterRestart guards against instances that wait for their seeds although another
 // controller is running: after a restart a controller notifies the instances that
 // polled it before.
-func TestCall(t *testing.T) {
+func TestNotifyAfterRestart(t *testing.T) {
 	c := newCluster(t)
 	c.bootstrap(1)
 
--- a/internal/program/registry/members.go
+++ b/internal/program/registry/members.go
@@ -40,7 +40,7 @@
 
 // minVoters is the number of voters that still leaves a majority after the
 // largest tolerated loss of disks. No document is accepted with fewer.
-func (o *owner) minVoters() int { return 2*o.settings.Losses + 1 }
+func (o *owner) minVoters() int { return 2*o.settings.MaxLostDisks + 1 }
 
 func countVoters(members []raft.MemberStatus) int {
 	count := 0
--- a/internal/program/registry/registry.go
+++ b/internal/program/registry/registry.go
@@ -85,14 +85,14 @@
 
 // Settings configures a controller.
 type Settings struct {
-	Inner     netip.AddrPort // address for messages between processes
-	Directory string         // data directory, created if it does not exist
-	Seeds     func() []flow.Endpoint
-	// First is set when the whole deployment starts for the first time, with
+	ControlAddress netip.AddrPort // address for messages between processes
+	Directory      string         // data directory, created if it does not exist
+	Seeds          func() []flow.Endpoint
+	// Bootstrap is set when the whole deployment starts for the first time, with
 	// empty disks. The seeds then form the group.
-	First bool
-	// Losses is the number of disks that may be lost at once.
-	Losses int
+	Bootstrap bool
+	// MaxLostDisks is the number of disks that may be lost at once.
+	MaxLostDisks int
 }
 
 // Interpret decodes a document in the format of its source.
@@ -147,12 +147,12 @@
 // New opens the socket. The data directory is opened by Run, because a disk may
 // hang.
 func New(settings Settings, interpret Interpret, logger *slog.Logger) (*Registry, error) {
-	self, ok := flow.NewEndpoint(settings.Inner)
+	self, ok := flow.NewEndpoint(settings.ControlAddress)
 	if !ok {
 		return nil, newError("listen", KindListen, errors.New("the address is not IPv4"))
 	}
 
-	conn, err := frag.Listen(settings.Inner, logger)
+	conn, err := frag.Listen(settings.ControlAddress, logger)
 	if err != nil {
 		return nil, newError("listen", KindListen, err)
 	}
@@ -201,14 +201,14 @@
 
 // Metrics holds the counters of a controller.
 type Metrics struct {
-	Version     uint64          `json:"version"` // of the document in force
-	Agents      int             `json:"agents"`
-	Controllers int             `json:"controllers"` // members of the group
-	Led         bool            `json:"led"`         // a leader is known
-	Accepted    latency.Summary `json:"accepted"`    // time until a document was accepted
-	Malformed   uint64          `json:"malformed"`
-	Overflow    uint64          `json:"overflow"`   // messages dropped while the disk was slow
-	Remembered  int             `json:"remembered"` // bytes of the checkpoints of agents
+	Version         uint64          `json:"version"` // of the document in force
+	Agents          int             `json:"agents"`
+	Controllers     int             `json:"controllers"` // members of the group
+	HasLeader       bool            `json:"led"`         // a leader is known
+	Accepted        latency.Summary `json:"accepted"`    // time until a document was accepted
+	Malformed       uint64          `json:"malformed"`
+	Overflow        uint64          `json:"overflow"`   // messages dropped while the disk was slow
+	CheckpointBytes int             `json:"remembered"` // bytes of the checkpoints of agents
 }
 
 // Metrics returns the counts since the start.
@@ -216,9 +216,9 @@
 	current := r.published.Load()
 
 	return Metrics{
-		Version: current.version, Agents: r.Agents(), Controllers: len(current.controllers), Led: current.hasLeader,
+		Version: current.version, Agents: r.Agents(), Controllers: len(current.controllers), HasLeader: current.hasLeader,
 		Accepted: r.acceptLatency.Summary(), Malformed: r.conn.Dropped(),
-		Overflow: r.droppedMessages.Load() + r.checkpoints.droppedBatches.Load(), Remembered: r.checkpoints.bytes(),
+		Overflow: r.droppedMessages.Load() + r.checkpoints.droppedBatches.Load(), CheckpointBytes: r.checkpoints.bytes(),
 	}
 }
 
--- a/internal/program/registry/registry_test.go
+++ b/internal/program/registry/registry_test.go
@@ -81,8 +81,8 @@
 	c.Helper()
 
 	built, err := registry.New(registry.Settings{
-		Inner: c.address(number).AddrPort(), Directory: filepath.Join(c.directory, disk),
-		Seeds: func() []flow.Endpoint { return c.seeds }, First: first, Losses: 2,
+		ControlAddress: c.address(number).AddrPort(), Directory: filepath.Join(c.directory, disk),
+		Seeds: func() []flow.Endpoint { return c.seeds }, Bootstrap: first, MaxLostDisks: 2,
 	}, interpret, slog.New(slog.DiscardHandler))
 	c.is.NoErr(err)
 
@@ -205,9 +205,9 @@
 	c.Fatalf("not within %v: %s", waitTimeout, what)
 }
 
-// TestFound guards against a group that accepts documents before enough disks
+// TestBootstrap guards against a group that accepts documents before enough disks
 // store them, or that leaves out controllers that are not seeds.
-func TestFound(t *testing.T) {
+func TestBootstrap(t *testing.T) {
 	t.Parallel()
 
 	c := newCluster(t)
--- a/internal/program/registry/storage.go
+++ b/internal/program/registry/storage.go
@@ -66,7 +66,7 @@
 
 // isInitialMember reports whether the replica is an initial member of the group.
 func (o *owner) isInitialMember() bool {
-	return o.settings.First && slices.Contains(o.settings.Seeds(), o.self)
+	return o.settings.Bootstrap && slices.Contains(o.settings.Seeds(), o.self)
 }
 
 // initialReplicaID derives the identity of an initial member from its address, so
--- a/internal/program/sidecar/checkpointer_test.go
+++ b/internal/program/sidecar/checkpointer_test.go
@@ -106,7 +106,7 @@
 
 	s, err := sidecar.New(sidecar.Settings{
 		Service: "desk", Data: agent, Outbound: netip.AddrPortFrom(agent.Addr(), 22002),
-		Backend: netip.AddrPortFrom(agent.Addr(), 22003), Inner: netip.AddrPortFrom(agent.Addr(), controller.Port()),
+		Backend: netip.AddrPortFrom(agent.Addr(), 22003), ControlAddress: netip.AddrPortFrom(agent.Addr(), controller.Port()),
 		ClientPort: agent.Port(), Seeds: func() []flow.Endpoint { return []flow.Endpoint{seed} },
 		ReportInterval: time.Second,
 	}, fakeCodec{}, logger)
--- a/internal/program/sidecar/sidecar.go
+++ b/internal/program/sidecar/sidecar.go
@@ -63,14 +63,14 @@
 
 // Settings configures an agent.
 type Settings struct {
-	Zone       string
-	Service    string
-	Data       netip.AddrPort // receives packets from entry instances
-	Outbound   netip.AddrPort // receives packets from the backend server
-	Backend    netip.AddrPort // the backend server
-	Inner      netip.AddrPort // receives control messages from other processes
-	ClientPort uint16         // UDP port at which clients receive packets
-	Seeds      func() []flow.Endpoint
+	Zone           string
+	Service        string
+	Data           netip.AddrPort // receives packets from entry instances
+	Outbound       netip.AddrPort // receives packets from the backend server
+	Backend        netip.AddrPort // the backend server
+	ControlAddress netip.AddrPort // receives control messages from other processes
+	ClientPort     uint16         // UDP port at which clients receive packets
+	Seeds          func() []flow.Endpoint
 	// ReportInterval is the time between two reports of the backend server.
 	ReportInterval time.Duration
 }
@@ -329,7 +329,7 @@
 func (s *Sidecar) sendToForwarder(forwarder flow.Endpoint, message []byte) error {
 	s.buffer = message
 
-	return s.control.Send(netip.AddrPortFrom(forwarder.Addr(), s.settings.Inner.Port()), message)
+	return s.control.Send(netip.AddrPortFrom(forwarder.Addr(), s.settings.ControlAddress.Port()), message)
 }
 
 // handleMessage handles a control message from another process.
--- a/internal/program/sidecar/sockets.go
+++ b/internal/program/sidecar/sockets.go
@@ -17,7 +17,7 @@
 		return err
 	}
 
-	s.control, err = frag.Listen(s.settings.Inner, s.logger)
+	s.control, err = frag.Listen(s.settings.ControlAddress, s.logger)
 
 	return err
 }
--- a/internal/testing/capacity/linkcost.go
+++ b/internal/testing/capacity/linkcost.go
@@ -292,7 +292,7 @@
 			instance.Close()
 		})
 		g.running.Go(func() {
-			if instance.Wait(g.ctx) == nil {
+			if instance.WaitReady(g.ctx) == nil {
 				g.joined.Add(1)
 			}
 		})
--- a/internal/testing/fleet/operate.go
+++ b/internal/testing/fleet/operate.go
@@ -234,7 +234,7 @@
 
 	defer func() { f.check(response.Body.Close()) }()
 
-	var report backend.Report
+	var report backend.HealthReport
 
 	f.check(json.NewDecoder(response.Body).Decode(&report))
 
--- a/internal/testing/fleet/traffic_test.go
+++ b/internal/testing/fleet/traffic_test.go
@@ -45,7 +45,7 @@
 	t.Helper()
 	atMostOnce(t, result)
 	is.New(t).Equal(result.BrokenFlows, int64(0))
-	is.New(t).True(result.Kept())
+	is.New(t).True(result.Passed())
 }
 
 // startLoad starts callers and waits until each has a feed.
