--- a/internal/program/agent/agent.go
+++ b/internal/program/agent/agent.go
@@ -276,7 +276,7 @@
 
 // errReplaced stops an agent that has been assigned a new incarnation. Balancers
 // no longer send to the old one.
-var errReplaced = errors.New("the controllers have forgotten the agent, it must start anew")
+var errReplaced = errors.New("the controllers no longer know this incarnation, the agent must be restarted")
 
 // serve accepts flows until the context ends, then drains.
 func (a *Agent) serve(ctx context.Context) error {
