--- a/internal/coordination/gate/queue.go
+++ b/internal/coordination/gate/queue.go
@@ -46,7 +46,7 @@
 // meet the aim of its route, 2 if its client has probably given up, 1 otherwise.
 func (r *request) rank(now time.Time, serviceTime time.Duration) int {
 	switch waited := now.Sub(r.arrived); {
-	case waited+serviceTime <= r.route.Aim:
+	case waited+serviceTime <= r.route.TargetLatency:
 		return 0
 	case waited < r.route.Timeout:
 		return 1
--- a/internal/coordination/gate/queue_test.go
+++ b/internal/coordination/gate/queue_test.go
@@ -40,11 +40,11 @@
 
 	table, err := route.New(&route.Document{Version: 1, Services: []string{"desk"}, Routes: []route.Route{
 		{
-			Name: "urgent", Address: urgent.AddrPort(), Timeout: timeout, Aim: aim, Priority: 1,
+			Name: "urgent", Address: urgent.AddrPort(), Timeout: timeout, TargetLatency: aim, Priority: 1,
 			Targets: []route.Target{{Service: "desk", Weight: 1}},
 		},
 		{
-			Name: "normal", Address: normal.AddrPort(), Timeout: timeout, Aim: aim, Priority: 2,
+			Name: "normal", Address: normal.AddrPort(), Timeout: timeout, TargetLatency: aim, Priority: 2,
 			Targets: []route.Target{{Service: "desk", Weight: 1}},
 		},
 	}})
--- a/internal/coordination/raft/bench_test.go
+++ b/internal/coordination/raft/bench_test.go
@@ -41,7 +41,7 @@
 		c.nodes[i], err = raft.New(raft.Config{
 			Replica: id, Cluster: cluster, Generation: generation, Random: rand.New(rand.NewPCG(1, 1)), Now: now,
 			MaxLogEntries: 1 << 40,
-		}, c.logs[i].Stored())
+		}, c.logs[i].TakeStored())
 		is.NoErr(err)
 	}
 
--- a/internal/coordination/raft/network_test.go
+++ b/internal/coordination/raft/network_test.go
@@ -104,7 +104,7 @@
 		n.check(log.SaveSnapshot(&initial))
 	}
 
-	stored := log.Stored()
+	stored := log.TakeStored()
 
 	h.log, h.frozen, h.inbox = log, false, nil
 	h.node, err = raft.New(raft.Config{
--- a/internal/coordination/steering/search.go
+++ b/internal/coordination/steering/search.go
@@ -288,7 +288,7 @@
 	r.questions.expire(now)
 
 	for address, a := range r.agents {
-		if !a.missingSince.IsZero() && now.Sub(a.missingSince) > roster.GoneAfter {
+		if !a.missingSince.IsZero() && now.Sub(a.missingSince) > roster.GoneTimeout {
 			delete(r.agents, address)
 		}
 	}
--- a/internal/coordination/steering/search_test.go
+++ b/internal/coordination/steering/search_test.go
@@ -203,7 +203,7 @@
 	}
 
 	// An agent that stays absent is removed.
-	f.now = f.now.Add(roster.GoneAfter + time.Second)
+	f.now = f.now.Add(roster.GoneTimeout + time.Second)
 	f.router.Tick(f.now)
 	f.is.Equal(len(f.askedAgents(key, f.router.Packet(f.now, requestHeader(key, 1), []byte("one")))), 2)
 }
--- a/internal/coordination/steering/steering.go
+++ b/internal/coordination/steering/steering.go
@@ -256,7 +256,7 @@
 
 // Apply applies records of the list of agents. If complete is set they replace
 // the list; otherwise they are changes. An agent that is absent from a complete
-// list is kept for roster.GoneAfter without new flows, because the controller may
+// list is kept for roster.GoneTimeout without new flows, because the controller may
 // not have received its report yet.
 func (r *Router) Apply(now time.Time, records []roster.Record, complete bool) {
 	listed := make(map[flow.Endpoint]bool, len(records))
--- a/internal/program/controller/controller.go
+++ b/internal/program/controller/controller.go
@@ -258,7 +258,7 @@
 		return owner, nil
 	}
 
-	return owner, owner.start(time.Now(), c.log.Stored())
+	return owner, owner.start(time.Now(), c.log.TakeStored())
 }
 
 // serveDebug serves expvar on loopback until ctx ends.
--- a/internal/program/controller/join.go
+++ b/internal/program/controller/join.go
@@ -209,7 +209,7 @@
 
 	// The snapshot is saved before the group identity. After a crash in between,
 	// the replica belongs to no group and continues with the same snapshot.
-	stored := o.log.Stored()
+	stored := o.log.TakeStored()
 	if stored.Snapshot.Index == 0 {
 		if stored.Snapshot, err = c.createSnapshot(o, owners); err != nil {
 			return err
@@ -277,5 +277,5 @@
 	}
 
 	o.logger.Info("joined a controller group", "cluster", j.cluster.String())
-	o.fatalErr = o.start(now, o.log.Stored())
+	o.fatalErr = o.start(now, o.log.TakeStored())
 }
--- a/internal/program/follower/follower.go
+++ b/internal/program/follower/follower.go
@@ -32,7 +32,7 @@
 )
 
 const (
-	// pollInterval allows four polls within roster.SilentAfter.
+	// pollInterval allows four polls within roster.SilentTimeout.
 	pollInterval = 400 * time.Millisecond
 
 	// eagerPollInterval is the poll interval while the instance has no document or
--- a/internal/program/registry/checkpoints.go
+++ b/internal/program/registry/checkpoints.go
@@ -212,7 +212,7 @@
 		return err
 	}
 
-	return wal.Replace(wal.WithoutModes(), s.directory, contactsFile, framed)
+	return wal.ReplaceFile(wal.WithoutModes(), s.directory, contactsFile, framed)
 }
 
 // reset closes the file and clears the stored checkpoints until the disk can be
--- a/internal/program/registry/operate.go
+++ b/internal/program/registry/operate.go
@@ -117,7 +117,7 @@
 		return 0, nil, nil
 	}
 
-	document, err := route.Expand(answer.document)
+	document, err := route.Decompress(answer.document)
 	if err != nil {
 		return 0, nil, newError("read", KindStorage, err)
 	}
--- a/internal/program/registry/owner.go
+++ b/internal/program/registry/owner.go
@@ -302,7 +302,7 @@
 
 // encodeDocument adds the document in force to the published state.
 func (o *owner) encodeDocument(current *publishedState, version uint64, compressed []byte) error {
-	document, err := route.Expand(compressed)
+	document, err := route.Decompress(compressed)
 	if err != nil {
 		return err
 	}
--- a/internal/program/registry/storage.go
+++ b/internal/program/registry/storage.go
@@ -37,7 +37,7 @@
 	}
 
 	o.log = log
-	stored := log.Stored()
+	stored := log.TakeStored()
 
 	if log.Identity().Cluster == 0 {
 		if !o.isInitialMember() {
--- a/internal/state/checkpoint/file.go
+++ b/internal/state/checkpoint/file.go
@@ -121,7 +121,7 @@
 		}
 	}
 
-	if err := wal.Replace(f.files, f.directory, fileName, contents); err != nil {
+	if err := wal.ReplaceFile(f.files, f.directory, fileName, contents); err != nil {
 		return err
 	}
 
--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	// SilentAfter is the time without announcements after which an agent receives no
+	// SilentTimeout is the time without announcements after which an agent receives no
 	// new flows. It corresponds to four consecutive lost announcements.
-	SilentAfter = 1600 * time.Millisecond
+	SilentTimeout = 1600 * time.Millisecond
 
-	// GoneAfter is the time without announcements after which an agent is considered
+	// GoneTimeout is the time without announcements after which an agent is considered
 	// lost. The restart of an instance takes less.
-	GoneAfter = 5 * time.Second
+	GoneTimeout = 5 * time.Second
 
 	// maxEarlierBoots limits the earlier starts of an agent whose delayed
 	// announcements can be distinguished from current ones.
@@ -186,11 +186,11 @@
 		next := m.State
 
 		switch {
-		case m.State == Gone && sinceSeen > 2*GoneAfter:
+		case m.State == Gone && sinceSeen > 2*GoneTimeout:
 			delete(l.members, address)
-		case sinceSeen > GoneAfter:
+		case sinceSeen > GoneTimeout:
 			next = Gone
-		case sinceSeen > SilentAfter:
+		case sinceSeen > SilentTimeout:
 			next = Silent
 		}
 
--- a/internal/state/roster/roster_test.go
+++ b/internal/state/roster/roster_test.go
@@ -74,14 +74,14 @@
 	list.Announce(start, record(1, roster.Ready), 1)
 	_, position := list.Since(0)
 
-	is.True(!list.Expire(start.Add(roster.SilentAfter)))
-	is.True(list.Expire(start.Add(roster.SilentAfter + 1)))
+	is.True(!list.Expire(start.Add(roster.SilentTimeout)))
+	is.True(list.Expire(start.Add(roster.SilentTimeout + 1)))
 
 	records, position := list.Since(position)
 	is.Equal(states(records), map[byte]roster.State{1: roster.Silent})
 
 	is.True(list.Announce(start.Add(2*time.Second), record(1, roster.Ready), 2)) // the agent announces itself again
-	is.True(list.Expire(start.Add(2*time.Second + roster.GoneAfter + 1)))
+	is.True(list.Expire(start.Add(2*time.Second + roster.GoneTimeout + 1)))
 
 	records, _ = list.Since(position)
 	is.Equal(states(records), map[byte]roster.State{1: roster.Gone})
--- a/internal/state/route/route.go
+++ b/internal/state/route/route.go
@@ -63,10 +63,10 @@
 	Address netip.AddrPort `cbor:"2,keyasint"`
 	Targets []Target       `cbor:"3,keyasint"`
 
-	Timeout  time.Duration `cbor:"4,keyasint"` // time within which clients expect an answer
-	Aim      time.Duration `cbor:"5,keyasint"` // target latency; 0 if not set
-	Priority int           `cbor:"6,keyasint"` // 0 is the most urgent
-	Repeats  bool          `cbor:"7,keyasint"` // requests are idempotent
+	Timeout       time.Duration `cbor:"4,keyasint"` // time within which clients expect an answer
+	TargetLatency time.Duration `cbor:"5,keyasint"` // target latency; 0 if not set
+	Priority      int           `cbor:"6,keyasint"` // 0 is the most urgent
+	Idempotent    bool          `cbor:"7,keyasint"` // requests are idempotent
 }
 
 // Document is a complete set of routes.
@@ -145,7 +145,7 @@
 
 // Decode decodes a document from the result of Encode.
 func Decode(encoded []byte) (*Document, error) {
-	plain, err := Expand(encoded)
+	plain, err := Decompress(encoded)
 	if err != nil {
 		return nil, err
 	}
@@ -178,9 +178,9 @@
 	return compressed.Bytes(), nil
 }
 
-// Expand decompresses the result of Compress. It refuses more than MaxEncodedBytes
+// Decompress decompresses the result of Compress. It refuses more than MaxEncodedBytes
 // of output.
-func Expand(compressed []byte) ([]byte, error) {
+func Decompress(compressed []byte) ([]byte, error) {
 	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), MaxEncodedBytes+1))
 	if err != nil {
 		return nil, newError("expand", KindEncoding, err)
--- a/internal/state/wal/bench_test.go
+++ b/internal/state/wal/bench_test.go
@@ -33,7 +33,7 @@
 
 			for b.Loop() {
 				log := openOnDisk(b, name)
-				is.Equal(len(log.Stored().Entries), int(count))
+				is.Equal(len(log.TakeStored().Entries), int(count))
 				is.NoErr(log.Close())
 			}
 		})
--- a/internal/state/wal/frame.go
+++ b/internal/state/wal/frame.go
@@ -31,9 +31,9 @@
 	return payload, offset + length, nil
 }
 
-// Replace writes a file under a temporary name, syncs it, renames it and syncs
+// ReplaceFile writes a file under a temporary name, syncs it, renames it and syncs
 // the directory, so that the name never refers to a partial file.
-func Replace(files Files, directory, name string, data []byte) error {
+func ReplaceFile(files Files, directory, name string, data []byte) error {
 	target := filepath.Join(directory, name)
 	temporary := target + temporarySuffix
 
--- a/internal/state/wal/snapshot.go
+++ b/internal/state/wal/snapshot.go
@@ -143,7 +143,7 @@
 // replaceFile replaces a file of the directory. After a failure the log refuses all
 // further writes.
 func (l *Log) replaceFile(name string, data []byte) error {
-	if err := Replace(l.files, l.directory, filepath.Base(name), data); err != nil {
+	if err := ReplaceFile(l.files, l.directory, filepath.Base(name), data); err != nil {
 		return l.fail("replace", name, err)
 	}
 
--- a/internal/state/wal/wal.go
+++ b/internal/state/wal/wal.go
@@ -142,10 +142,10 @@
 // Identity returns the identity of the replica.
 func (l *Log) Identity() Identity { return l.identity }
 
-// Stored returns the state that Open found, or the latest snapshot that was saved
+// TakeStored returns the state that Open found, or the latest snapshot that was saved
 // since in a directory without entries. Only the first call returns it, so that the
 // log doesn't keep it in memory.
-func (l *Log) Stored() Stored {
+func (l *Log) TakeStored() Stored {
 	stored := l.stored
 	l.stored = Stored{}
 	l.storedReturned = true
--- a/internal/state/wal/wal_test.go
+++ b/internal/state/wal/wal_test.go
@@ -59,7 +59,7 @@
 		d.Crash()
 
 		log := open(t, d)
-		is.Equal(len(log.Stored().Entries), saved)
+		is.Equal(len(log.TakeStored().Entries), saved)
 		is.NoErr(log.Save(nil, entries(uint64(6+saved), 1, 2)))
 	}
 }
@@ -155,7 +155,7 @@
 
 		for term := uint64(1); term < 12; term++ {
 			log := open(t, d)
-			found := log.Stored()
+			found := log.TakeStored()
 
 			if !m.equals(found) {
 				t.Fatalf("term %d: found %+v, want %+v", term, found, m)
@@ -192,7 +192,7 @@
 
 			// The writes of a failed operation may have reached the disk.
 			if err != nil {
-				if log := open(t, d); after.equals(log.Stored()) {
+				if log := open(t, d); after.equals(log.TakeStored()) {
 					m = after
 				}
 
@@ -252,7 +252,7 @@
 		d.Replace(name, slices.Clone(intact[:size]))
 
 		log := open(t, d)
-		is.Equal(len(log.Stored().Entries), 3)
+		is.Equal(len(log.TakeStored().Entries), 3)
 		is.NoErr(log.Save(nil, entries(4, 1, 2)))
 		is.NoErr(log.Close())
 	}
@@ -329,7 +329,7 @@
 	is.Equal(log.Identity(), identity)
 	is.True(identity.Replica != 0)
 
-	stored := log.Stored()
+	stored := log.TakeStored()
 	is.Equal(stored.Snapshot.Data, []byte("state"))
 	is.Equal(len(stored.Entries), 5)
 	is.NoErr(log.Close())
