--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -12,7 +12,7 @@
 //	}
 //
 // Call Next after Offer, Finish, Cancel and Reconfigure, and at the time that
-// Wake returns. A request is never refused after a Run: cancelling a running
+// NextWakeup returns. A request is never refused after a Run: cancelling a running
 // request yields Abort, and its slot stays taken until Finish.
 //
 // # Policy
@@ -192,9 +192,9 @@
 	return decisions
 }
 
-// Wake returns the latest time at which Next must be called, and false if no
+// NextWakeup returns the latest time at which Next must be called, and false if no
 // request waits.
-func (s *Scheduler) Wake() (time.Time, bool) {
+func (s *Scheduler) NextWakeup() (time.Time, bool) {
 	var wake time.Time
 
 	for _, c := range s.classes {
--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -137,7 +137,7 @@
 	b.wait(at(400), "urgent")
 	b.refuse(at(400), "urgent", admission.ReasonDeadline)
 
-	wake, ok := b.scheduler.Wake()
+	wake, ok := b.scheduler.NextWakeup()
 	b.is.True(ok)
 	b.is.True(wake.Before(at(1400))) // early enough to run before the deadline
 
--- a/internal/coordination/forward/agent.go
+++ b/internal/coordination/forward/agent.go
@@ -90,7 +90,7 @@
 	case datagram.Ping:
 		return pong(&a.header, a.view.Position().Index, source)
 	case datagram.Pong:
-		return drop(Noted)
+		return drop(Consumed)
 	default:
 		return drop(WrongKind)
 	}
--- a/internal/coordination/forward/balancer.go
+++ b/internal/coordination/forward/balancer.go
@@ -162,9 +162,9 @@
 	return agents
 }
 
-// Refused records that a destination refused a datagram: first packets skip its
+// RecordRefusal records that a destination refused a datagram: first packets skip its
 // agents until the view changes, for at most 3 s.
-func (b *Balancer) Refused(now time.Time, destination netip.AddrPort) {
+func (b *Balancer) RecordRefusal(now time.Time, destination netip.AddrPort) {
 	current := b.current.Load()
 	if current == nil {
 		return
@@ -271,10 +271,10 @@
 		return w.forwardTo(current, First, service, owner, source)
 	}
 
-	for rank := 1; rank < min(maxRanks, current.table.Ranks(service)); rank++ {
-		agent, _ := current.table.Ranked(service, hash, rank)
+	for rank := 1; rank < min(maxRanks, current.table.EligibleCount(service)); rank++ {
+		agent, _ := current.table.AgentAtRank(service, hash, rank)
 		if !w.balancer.skips.contains(now, agent) {
-			return w.forwardTo(current, FirstFurther, service, agent, source)
+			return w.forwardTo(current, FirstFallback, service, agent, source)
 		}
 	}
 
@@ -322,11 +322,11 @@
 	case datagram.Stale:
 		w.balancer.skips.add(now, w.header.Agent)
 
-		return drop(Noted)
+		return drop(Consumed)
 	case datagram.Ping:
 		return pong(&w.header, current.view.Position().Index, source)
 	case datagram.Pong:
-		return drop(Noted)
+		return drop(Consumed)
 	default:
 		return drop(WrongKind)
 	}
--- a/internal/coordination/forward/balancer_test.go
+++ b/internal/coordination/forward/balancer_test.go
@@ -47,23 +47,23 @@
 	other := 4 - owner // 1 and 3 serve crew
 
 	for name, skip := range map[string]func(){
-		"refused": func() { f.balancer.Refused(start, address(int(owner))) },
+		"refused": func() { f.balancer.RecordRefusal(start, address(int(owner))) },
 		"stale": func() {
 			notice := datagram.Header{Kind: datagram.Stale, Service: crew, Agent: owner, Balancer: self}
-			assertDropped(t, f.FromAgent(start, f.sealed(notice, ""), peer), forward.Noted)
+			assertDropped(t, f.FromAgent(start, f.sealed(notice, ""), peer), forward.Consumed)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			skip()
-			assertSent(t, f.FromCaller(start, crew, initialPacket(1), caller), forward.FirstFurther, other)
+			assertSent(t, f.FromCaller(start, crew, initialPacket(1), caller), forward.FirstFallback, other)
 			assertSent(t, f.FromCaller(start, crew, f.establishedPacket(crew, owner), caller), forward.Direct, owner)
 			assertSent(t, f.FromCaller(start.Add(3*time.Second), crew, initialPacket(1), caller), forward.First, owner)
 
 			is.New(t).NoErr(f.balancer.Apply(view.New(contents())))
 			assertSent(t, f.FromCaller(start, crew, initialPacket(1), caller), forward.First, owner)
 
-			f.balancer.Refused(start, address(1))
-			f.balancer.Refused(start, address(3))
+			f.balancer.RecordRefusal(start, address(1))
+			f.balancer.RecordRefusal(start, address(3))
 			assertSent(t, f.FromCaller(start, crew, initialPacket(1), caller), forward.First, owner)
 			is.New(t).NoErr(f.balancer.Apply(view.New(contents())))
 		})
--- a/internal/coordination/forward/decision.go
+++ b/internal/coordination/forward/decision.go
@@ -38,10 +38,10 @@
 const (
 	Direct         Reason = iota // sent to the agent that the connection ID names
 	First                        // sent to the owner of the bucket
-	FirstFurther                 // sent to an agent of a later rank, since the earlier ones are skipped
+	FirstFallback                // sent to an agent of a later rank, since the earlier ones are skipped
 	Delivered                    // delivered to the caller, or to QUIC
 	Answered                     // answered with a pong
-	Noted                        // a stale notice or a pong
+	Consumed                     // a stale notice or a pong
 	NoView                       // dropped, as are all below: no view is in force
 	NoService                    // the service is not in the view
 	NoAgent                      // no agent of the service gets new flows
@@ -59,10 +59,10 @@
 	WrongService                 // the header names another service than the agent serves
 	WrongAgent                   // the header names another incarnation; answered with a stale notice
 	NoPayload                    // there is no payload after the header, or no caller in it
-	Reasons                      // the number of reasons
+	ReasonCount                  // the number of reasons
 )
 
-var reasonNames = [Reasons]string{
+var reasonNames = [ReasonCount]string{
 	"direct", "first", "first-further", "delivered", "answered", "noted", "no-view", "no-service", "no-agent",
 	"agent-gone", "not-quic", "not-caller", "not-first", "source-limited", "service-limited", "header-short",
 	"header-key", "header-tag", "header-field", "wrong-kind", "wrong-service", "wrong-agent", "no-payload",
@@ -70,7 +70,7 @@
 
 // String returns the name of the reason in metrics.
 func (r Reason) String() string {
-	if r >= Reasons {
+	if r >= ReasonCount {
 		return "unknown"
 	}
 
@@ -84,12 +84,12 @@
 }
 
 // Counts holds a number of datagrams for each reason.
-type Counts [Reasons]uint64
+type Counts [ReasonCount]uint64
 
 // Counters counts decisions by reason. Each goroutine has its own, so that
 // cores do not share cache lines; reading them is safe at any time.
 type Counters struct {
-	values [Reasons]atomic.Uint64
+	values [ReasonCount]atomic.Uint64
 	_      [64]byte
 }
 
--- a/internal/coordination/lease/lease.go
+++ b/internal/coordination/lease/lease.go
@@ -47,7 +47,7 @@
 type Renewal struct {
 	Incarnation view.Incarnation
 	Position    view.Position // in force
-	InForce     time.Duration // since when the position is in force
+	InForceFor  time.Duration // since when the position is in force
 	Load        uint8         // coarse hint, 0 to 100
 }
 
@@ -120,7 +120,7 @@
 		t.restart(element)
 		element.Value.(*entry).status = Status{
 			Position: renewal.Position,
-			Since:    t.now.Add(-max(renewal.InForce, 0)),
+			Since:    t.now.Add(-max(renewal.InForceFor, 0)),
 			Renewed:  t.now,
 			Load:     min(renewal.Load, 100),
 		}
--- a/internal/coordination/lease/lease_test.go
+++ b/internal/coordination/lease/lease_test.go
@@ -138,7 +138,7 @@
 	position := view.Position{Generation: 1, Index: 7}
 
 	table.Renew(at(1), []lease.Renewal{
-		{Incarnation: 1, Position: position, InForce: time.Second, Load: 200},
+		{Incarnation: 1, Position: position, InForceFor: time.Second, Load: 200},
 		{Incarnation: 2, Position: view.Position{Generation: 1, Index: 6}},
 	})
 
--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -230,7 +230,7 @@
 		return
 	}
 
-	duration := p.policy.Ejection << min(s.ejections, 10)
+	duration := p.policy.BaseEjection << min(s.ejections, 10)
 	s.ejections++
 	s.ejectedUntil = now.Add(min(duration, p.policy.MaxEjection))
 
--- a/internal/coordination/placement/policy.go
+++ b/internal/coordination/placement/policy.go
@@ -9,10 +9,10 @@
 	RampUp time.Duration
 	// FailuresToEject is the number of failures in a row that ejects a sibling.
 	FailuresToEject int
-	// Ejection is how long the first ejection lasts. Each further one doubles it,
+	// BaseEjection is how long the first ejection lasts. Each further one doubles it,
 	// up to MaxEjection, until the sibling answers at its full weight.
-	Ejection    time.Duration
-	MaxEjection time.Duration
+	BaseEjection time.Duration
+	MaxEjection  time.Duration
 	// MaxEjectedPercent bounds how many of the siblings are ejected at a time.
 	MaxEjectedPercent int
 	// RefusalPause is how long a sibling that refused gets no requests.
@@ -26,7 +26,7 @@
 	return Policy{
 		RampUp:            10 * time.Second,
 		FailuresToEject:   5,
-		Ejection:          5 * time.Second,
+		BaseEjection:      5 * time.Second,
 		MaxEjection:       time.Minute,
 		MaxEjectedPercent: 50,
 		RefusalPause:      20 * time.Millisecond,
--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -7,7 +7,7 @@
 //	budget.Deposit() // once for each request that arrives from a caller
 //	decision := budget.Decide(now, attempt, random)
 //	if decision.Retry {
-//		// Try again after decision.After.
+//		// Try again after decision.Delay.
 //	}
 //
 // Only the agent that holds the caller's session may use a budget: retries at
@@ -70,17 +70,17 @@
 
 // Attempt describes an attempt that has ended.
 type Attempt struct {
-	Number     int // 1 for the first attempt
-	Outcome    Outcome
-	Idempotent bool
-	Deadline   time.Time     // of the request
-	Needed     time.Duration // expected time of another attempt
+	Number           int // 1 for the first attempt
+	Outcome          Outcome
+	Idempotent       bool
+	Deadline         time.Time     // of the request
+	ExpectedDuration time.Duration // expected time of another attempt
 }
 
 // Decision tells whether and when to try again.
 type Decision struct {
 	Retry  bool
-	After  time.Duration
+	Delay  time.Duration
 	Reason Reason
 }
 
@@ -137,7 +137,7 @@
 	}
 
 	after := backoff(attempt.Number, random)
-	if now.Add(after + attempt.Needed).After(attempt.Deadline) {
+	if now.Add(after + attempt.ExpectedDuration).After(attempt.Deadline) {
 		return Decision{Reason: ReasonDeadline}
 	}
 
@@ -145,7 +145,7 @@
 		return Decision{Reason: ReasonBudget}
 	}
 
-	return Decision{Retry: true, After: after, Reason: reason}
+	return Decision{Retry: true, Delay: after, Reason: reason}
 }
 
 // backoff returns a uniformly distributed delay below a limit that doubles
--- a/internal/coordination/retry/retry_test.go
+++ b/internal/coordination/retry/retry_test.go
@@ -27,7 +27,7 @@
 		"idempotent":     {withOutcome(retry.Unknown, true), 1, retry.ReasonIdempotence},
 		"may have run":   {withOutcome(retry.Unknown, false), 1, retry.ReasonMayHaveRun},
 		"answered":       {withOutcome(retry.Answered, true), 1, retry.ReasonAnswered},
-		"too late":       {func(a *retry.Attempt) { a.Needed = 2 * time.Second }, 1, retry.ReasonDeadline},
+		"too late":       {func(a *retry.Attempt) { a.ExpectedDuration = 2 * time.Second }, 1, retry.ReasonDeadline},
 		"too often":      {func(a *retry.Attempt) { a.Number = 4 }, 1, retry.ReasonAttempts},
 		"no budget":      {func(*retry.Attempt) {}, 0, retry.ReasonBudget},
 	}
@@ -89,8 +89,8 @@
 		attempt := retry.Attempt{Number: 1 + i%3, Outcome: retry.NotRun, Deadline: start.Add(time.Hour)}
 		decision := budget.Decide(start, attempt, random)
 		is.True(decision.Retry)
-		is.True(decision.After < 10*time.Millisecond<<(i%3)) // exponential limit
-		delays[decision.After] = true
+		is.True(decision.Delay < 10*time.Millisecond<<(i%3)) // exponential limit
+		delays[decision.Delay] = true
 	}
 
 	is.True(len(delays) > 290) // jitter
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -115,10 +115,10 @@
 	return serviceBuckets.members[owner].incarnation, true
 }
 
-// Ranked returns the agent of a new flow when the agents of all lower ranks
+// AgentAtRank returns the agent of a new flow when the agents of all lower ranks
 // are skipped. Rank 0 is the owner. It computes the rank from the scores,
 // in time proportional to rank and number of agents, without allocating.
-func (t *Table) Ranked(service view.ServiceID, hash uint64, rank int) (view.Incarnation, bool) {
+func (t *Table) AgentAtRank(service view.ServiceID, hash uint64, rank int) (view.Incarnation, bool) {
 	serviceBuckets := t.bucketsOf(service)
 	if serviceBuckets == nil || rank < 0 || rank >= len(serviceBuckets.members) {
 		return 0, false
@@ -127,8 +127,8 @@
 	return serviceBuckets.ranked(hash&serviceBuckets.mask, rank), true
 }
 
-// Ranks returns the number of agents of a service that get new flows.
-func (t *Table) Ranks(service view.ServiceID) int {
+// EligibleCount returns the number of agents of a service that get new flows.
+func (t *Table) EligibleCount(service view.ServiceID) int {
 	serviceBuckets := t.bucketsOf(service)
 	if serviceBuckets == nil {
 		return 0
--- a/internal/coordination/routing/table_test.go
+++ b/internal/coordination/routing/table_test.go
@@ -107,13 +107,13 @@
 	count := bucketsByOwner(t, table)
 	is.New(t).Equal(len(count), 2)
 	is.New(t).Equal(count[5]+count[7], buckets)
-	is.New(t).Equal(table.Ranks(1), 2)
+	is.New(t).Equal(table.EligibleCount(1), 2)
 
 	for _, service := range []view.ServiceID{0, 2, 3} {
 		_, ok := table.Owner(service, 5)
 		is.New(t).Equal(ok, false)
 
-		_, ok = table.Ranked(service, 5, 0)
+		_, ok = table.AgentAtRank(service, 5, 0)
 		is.New(t).Equal(ok, false)
 	}
 }
@@ -137,15 +137,15 @@
 	for hash := range uint64(buckets) {
 		seen := map[view.Incarnation]bool{}
 
-		for rank := range table.Ranks(1) {
-			agent, ok := table.Ranked(1, hash, rank)
+		for rank := range table.EligibleCount(1) {
+			agent, ok := table.AgentAtRank(1, hash, rank)
 			is.New(t).True(ok)
 
 			seen[agent] = true
 		}
 
 		owner, _ := table.Owner(1, hash)
-		first, _ := table.Ranked(1, hash, 0)
+		first, _ := table.AgentAtRank(1, hash, 0)
 
 		is.New(t).Equal(owner, first)
 		is.New(t).Equal(len(seen), 9)
--- a/internal/program/agent/gate.go
+++ b/internal/program/agent/gate.go
@@ -52,7 +52,7 @@
 		now := time.Now()
 		g.deliver(g.scheduler.Next(now))
 
-		if wake, ok := g.scheduler.Wake(); ok {
+		if wake, ok := g.scheduler.NextWakeup(); ok {
 			timer.Reset(max(0, wake.Sub(now)))
 		}
 	}
--- a/internal/program/agent/placer.go
+++ b/internal/program/agent/placer.go
@@ -92,7 +92,7 @@
 			uncertain = outcome
 		}
 
-		if decision := p.decideRetry(c, number, outcome); !decision.Retry || !sleep(ctx, decision.After) {
+		if decision := p.decideRetry(c, number, outcome); !decision.Retry || !sleep(ctx, decision.Delay) {
 			return outcome
 		}
 	}
--- a/internal/program/balancer/balancer.go
+++ b/internal/program/balancer/balancer.go
@@ -106,7 +106,7 @@
 		ReceiveBuffer: receiveBufferBytes,
 		Refused: func(destination netip.AddrPort, _ syscall.Errno) {
 			if engine := b.engine.Load(); engine != nil {
-				engine.Refused(time.Now(), destination)
+				engine.RecordRefusal(time.Now(), destination)
 			}
 		},
 	}
@@ -261,7 +261,7 @@
 				continue
 			}
 
-			if decision.Reason == forward.First || decision.Reason == forward.FirstFurther {
+			if decision.Reason == forward.First || decision.Reason == forward.FirstFallback {
 				b.traceFirstPacket(batch.Payload(i), &decision)
 			}
 
--- a/internal/program/controller/event.go
+++ b/internal/program/controller/event.go
@@ -149,7 +149,7 @@
 		renewals = append(renewals, lease.Renewal{
 			Incarnation: renewal.Incarnation,
 			Position:    renewal.Position,
-			InForce:     renewal.Since,
+			InForceFor:  renewal.InForceFor,
 			Load:        renewal.Load,
 		})
 	}
--- a/internal/program/member/member.go
+++ b/internal/program/member/member.go
@@ -295,7 +295,7 @@
 	renewal := control.Renewal{Incarnation: m.Incarnation(), Load: m.options.Load()}
 	if current := m.current.Load(); current != nil {
 		renewal.Position = current.view.Position()
-		renewal.Since = time.Since(current.appliedAt)
+		renewal.InForceFor = time.Since(current.appliedAt)
 	}
 
 	var reply control.RenewReply
--- a/internal/protocol/control/membership.go
+++ b/internal/protocol/control/membership.go
@@ -81,7 +81,7 @@
 type Renewal struct {
 	Incarnation view.Incarnation `cbor:"1,keyasint"`
 	Position    view.Position    `cbor:"2,keyasint"` // of the view that the instance has applied
-	Since       time.Duration    `cbor:"3,keyasint"` // time since the instance applied it
+	InForceFor  time.Duration    `cbor:"3,keyasint"` // time since the instance applied it
 	Load        uint8            `cbor:"4,keyasint"` // percent of the slots in use, approximate
 }
 
--- a/internal/testing/capacity/leasecost.go
+++ b/internal/testing/capacity/leasecost.go
@@ -79,7 +79,7 @@
 		for _, member := range members[:count] {
 			message.Renewals = append(message.Renewals, control.Renewal{
 				Incarnation: member, Position: view.Position{Generation: 1, Index: 1_000_000},
-				Since: 1234 * time.Millisecond, Load: 50,
+				InForceFor: 1234 * time.Millisecond, Load: 50,
 			})
 		}
 
@@ -105,7 +105,7 @@
 	renewals := make([]lease.Renewal, len(message.Renewals))
 	for i, item := range message.Renewals {
 		renewals[i] = lease.Renewal{
-			Incarnation: item.Incarnation, Position: item.Position, InForce: item.Since, Load: item.Load,
+			Incarnation: item.Incarnation, Position: item.Position, InForceFor: item.InForceFor, Load: item.Load,
 		}
 	}
 
--- a/internal/testing/measure/baseline.go
+++ b/internal/testing/measure/baseline.go
@@ -95,8 +95,8 @@
 	return true
 }
 
-// Wake reports that the queue never needs a call at a certain time.
-func (b *boundedQueue) Wake() (time.Time, bool) { return time.Time{}, false }
+// NextWakeup reports that the queue never needs a call at a certain time.
+func (b *boundedQueue) NextWakeup() (time.Time, bool) { return time.Time{}, false }
 
 // Waiting returns the length of the queue.
 func (b *boundedQueue) Waiting() int { return len(b.queue) }
--- a/internal/testing/measure/flood.go
+++ b/internal/testing/measure/flood.go
@@ -18,7 +18,7 @@
 	Offer(now time.Time, request admission.Request) admission.Decision
 	Next(now time.Time) []admission.Decision
 	Finish(now time.Time, id uint64, outcome admission.Outcome) bool
-	Wake() (time.Time, bool)
+	NextWakeup() (time.Time, bool)
 	Waiting() int
 }
 
@@ -179,7 +179,7 @@
 
 	r.result.MaxWaiting = max(r.result.MaxWaiting, admitter.Waiting())
 
-	wake, ok := admitter.Wake()
+	wake, ok := admitter.NextWakeup()
 	if !ok || (r.wakes[agent].After(now) && !wake.Before(r.wakes[agent])) {
 		return
 	}
--- a/internal/testing/measure/flows_traffic.go
+++ b/internal/testing/measure/flows_traffic.go
@@ -39,7 +39,7 @@
 
 	agent := w.byAddress[decision.To]
 	if agent == nil {
-		balancer.core.Refused(w.now, decision.To)
+		balancer.core.RecordRefusal(w.now, decision.To)
 
 		return nil
 	}
