--- a/internal/program/agent/drain.go
+++ b/internal/program/agent/drain.go
@@ -36,7 +36,7 @@
 	}
 
 	a.claims.handOff(ctx)
-	a.leave(ctx, control.PhaseGone)
+	a.leave(ctx, control.PhaseRemoved)
 	a.logger.Info("drained")
 }
 
--- a/internal/program/agent/fleet_test.go
+++ b/internal/program/agent/fleet_test.go
@@ -193,7 +193,7 @@
 	defer d.mutex.Unlock()
 
 	d.publishChange(func(contents *view.Contents) {
-		gone := message.Phase == control.PhaseGone
+		gone := message.Phase == control.PhaseRemoved
 		contents.Agents = slices.DeleteFunc(slices.Clone(contents.Agents), func(a view.Agent) bool {
 			return gone && a.Incarnation == message.Incarnation
 		})
--- a/internal/program/balancer/balancer.go
+++ b/internal/program/balancer/balancer.go
@@ -203,7 +203,7 @@
 	defer timer.Stop()
 
 	<-timer.C
-	b.announcePhase(ctx, control.PhaseGone)
+	b.announcePhase(ctx, control.PhaseRemoved)
 	b.member.Close()
 }
 
--- a/internal/program/controller/convert.go
+++ b/internal/program/controller/convert.go
@@ -14,8 +14,8 @@
 		Role:        catalog.Role(request.Role),
 		Service:     request.Service,
 		Zone:        request.Zone,
-		Data:        request.Data,
-		Peer:        request.Peer,
+		DataAddress: request.Data,
+		PeerAddress: request.Peer,
 		Boot:        catalog.BootID(request.BootID),
 		Signature:   request.Signature,
 	}
@@ -23,8 +23,8 @@
 
 func toLeave(request control.Leave) *catalog.Leave {
 	phase := catalog.PhaseDraining
-	if request.Phase == control.PhaseGone {
-		phase = catalog.PhaseGone
+	if request.Phase == control.PhaseRemoved {
+		phase = catalog.PhaseRemoved
 	}
 
 	return &catalog.Leave{Environment: request.Environment, Incarnation: request.Incarnation, Phase: phase}
@@ -48,14 +48,14 @@
 
 	switch {
 	case result.Kind == "":
-	case result.Winner != nil:
+	case result.ConflictingChange != nil:
 		reply.State = control.StateConflict
 		reply.Change = control.Change{
-			Version:  result.Winner.Version,
-			ChangeID: result.Winner.ChangeID,
-			Author:   result.Winner.Author,
-			Digest:   result.Winner.Digest[:],
-			State:    control.ChangeState(result.Winner.Status),
+			Version:  result.ConflictingChange.Version,
+			ChangeID: result.ConflictingChange.ChangeID,
+			Author:   result.ConflictingChange.Author,
+			Digest:   result.ConflictingChange.Digest[:],
+			State:    control.ChangeState(result.ConflictingChange.Status),
 		}
 	default:
 		reply.State = control.StateInvalid
--- a/internal/program/controller/join.go
+++ b/internal/program/controller/join.go
@@ -235,7 +235,7 @@
 
 // createSnapshot saves and returns the initial snapshot of a new group.
 func (c *createGroup) createSnapshot(o *owner, owners [2]catalog.Owner) (raft.Snapshot, error) {
-	founding := catalog.Founding{Generation: firstGeneration, Owners: owners}
+	founding := catalog.GroupConfig{Generation: firstGeneration, Owners: owners}
 	rand.Read(founding.Cluster[:])
 
 	state, err := catalog.New(founding)
--- a/internal/program/registry/storage.go
+++ b/internal/program/registry/storage.go
@@ -90,7 +90,7 @@
 		id ^= flow.Mix(uint64(initialReplicaID(seed)))
 	}
 
-	initial := catalog.Founding{Generation: firstGeneration, Preapproved: true}
+	initial := catalog.GroupConfig{Generation: firstGeneration, Preapproved: true}
 	binary.BigEndian.PutUint64(initial.Cluster[:], id|1)
 
 	state, err := catalog.New(initial)
--- a/internal/protocol/control/membership.go
+++ b/internal/protocol/control/membership.go
@@ -20,7 +20,7 @@
 // The phases of a Leave, in order.
 const (
 	PhaseDraining Phase = iota + 1 // weight 0, receives no new requests
-	PhaseGone                      // removed from the membership
+	PhaseRemoved                   // removed from the membership
 )
 
 // Announce registers an agent or a balancer. A retry with the same boot ID gets
@@ -121,7 +121,7 @@
 func (l *Leave) Check() error {
 	return newValidator("leave").
 		requiredName("environment", l.Environment).
-		require(l.Phase == PhaseDraining || l.Phase == PhaseGone, "phase is %d", l.Phase).
+		require(l.Phase == PhaseDraining || l.Phase == PhaseRemoved, "phase is %d", l.Phase).
 		err
 }
 
--- a/internal/state/catalog/announce.go
+++ b/internal/state/catalog/announce.go
@@ -16,7 +16,7 @@
 // earlier copy of it.
 func (m member) announcedBy(command Announce, service view.ServiceID) bool {
 	return m.Role == command.Role && m.Service == service && m.Zone == command.Zone &&
-		m.Data == command.Data && m.Peer == command.Peer
+		m.Data == command.DataAddress && m.Peer == command.PeerAddress
 }
 
 // announce adds a member. A repeated announcement returns the incarnation of the
@@ -44,10 +44,10 @@
 		return refuse(KindSuperseded, "boot ID %x left or was replaced", command.Boot), false
 	}
 
-	replaced, replaces := e.byAddress[command.Data]
+	replaced, replaces := e.byAddress[command.DataAddress]
 	if holder := e.members[replaced]; replaces && holder.conflictsWith(command.Role, service) {
 		return refuse(KindInUse, "address %s belongs to active incarnation %d of another service or role",
-			command.Data, replaced), false
+			command.DataAddress, replaced), false
 	}
 
 	if refusal := e.checkCapacity(command.Role, replaced); refusal != nil {
@@ -56,10 +56,10 @@
 
 	added := member{
 		Incarnation: view.Incarnation(e.nextIncarnation), Role: command.Role, Service: service, Zone: command.Zone,
-		Data: command.Data, Peer: command.Peer, Weight: view.MaxWeight, State: view.Active, Boot: command.Boot,
+		Data: command.DataAddress, Peer: command.PeerAddress, Weight: view.MaxWeight, State: view.Active, Boot: command.Boot,
 	}
 
-	if e.starts.detectFlapping(at.now, command.Data) {
+	if e.starts.detectFlapping(at.now, command.DataAddress) {
 		added.Weight, added.Flapping = flapWeight, true
 	}
 
@@ -106,7 +106,7 @@
 		return fmt.Errorf("found boot ID %x, allowed: a random one", a.Boot)
 	}
 
-	for _, address := range []netip.AddrPort{a.Data, a.Peer} {
+	for _, address := range []netip.AddrPort{a.DataAddress, a.PeerAddress} {
 		ip := address.Addr()
 		if !ip.IsValid() || ip.IsUnspecified() || ip.IsMulticast() || ip.Zone() != "" || address.Port() == 0 {
 			return fmt.Errorf("found address %q, allowed: a unicast IP address and port", address)
--- a/internal/state/catalog/approve.go
+++ b/internal/state/catalog/approve.go
@@ -11,7 +11,7 @@
 const maxApprovals = 1024
 
 // Approve puts a document in force that was approved before it reached the
-// controller group. Only a catalog with Founding.Preapproved accepts it. The
+// controller group. Only a catalog with GroupConfig.Preapproved accepts it. The
 // document with the highest version is in force; a command with an equal or
 // lower version succeeds without effect, so that a resend never fails.
 type Approve struct {
--- a/internal/state/catalog/approve_test.go
+++ b/internal/state/catalog/approve_test.go
@@ -10,7 +10,7 @@
 func newPreapprovedCatalog(t *testing.T) *Catalog {
 	t.Helper()
 
-	state, err := New(Founding{Cluster: [16]byte{1}, Generation: 1, Preapproved: true})
+	state, err := New(GroupConfig{Cluster: [16]byte{1}, Generation: 1, Preapproved: true})
 	is.New(t).NoErr(err)
 
 	return state
@@ -80,9 +80,9 @@
 	assertApproved(t, restored, 4, "four")
 }
 
-// TestApproveNeedsFounding guards against unsigned documents in a group with
+// TestApproveRequiresPreapproved guards against unsigned documents in a group with
 // owners, and against signed ones in a group without owners.
-func TestApproveNeedsFounding(t *testing.T) {
+func TestApproveRequiresPreapproved(t *testing.T) {
 	is := is.New(t)
 	state := newPreapprovedCatalog(t)
 
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -5,7 +5,7 @@
 //
 // # Usage
 //
-//	state, err := catalog.New(catalog.Founding{Cluster: id, Owners: owners})
+//	state, err := catalog.New(catalog.GroupConfig{Cluster: id, Owners: owners})
 //	entry, err := catalog.Command{Submit: &catalog.Submit{...}}.Encode(now) // at the leader
 //	result := state.Apply(index, entry)                                     // at every replica
 //	if err := result.Err(); err != nil {
@@ -44,9 +44,9 @@
 	Key  ed25519.PublicKey `cbor:"2,keyasint" json:"key"`
 }
 
-// Founding holds the parameters that are fixed when the controller group is
+// GroupConfig holds the parameters that are fixed when the controller group is
 // created.
-type Founding struct {
+type GroupConfig struct {
 	Cluster    [16]byte // random ID of the group
 	Generation uint64   // increases when the group is re-formed
 	Owners     [2]Owner
@@ -76,21 +76,21 @@
 
 // New returns the state of a new controller group. It refuses owners without a
 // name or key, and owners with the same name or key, with KindInvalid.
-func New(founding Founding) (*Catalog, error) {
-	if err := checkOwners(founding.Owners); err != nil && !founding.Preapproved {
+func New(config GroupConfig) (*Catalog, error) {
+	if err := checkOwners(config.Owners); err != nil && !config.Preapproved {
 		return nil, newError("new", KindInvalid, err)
 	}
 
 	catalog := &Catalog{
-		cluster:      founding.Cluster,
-		generation:   founding.Generation,
-		owners:       founding.Owners,
+		cluster:      config.Cluster,
+		generation:   config.Generation,
+		owners:       config.Owners,
 		ledgers:      map[string]*ledger{},
 		environments: map[string]*environment{},
 		answers:      answers{byID: map[string]*answer{}},
 	}
 
-	if founding.Preapproved {
+	if config.Preapproved {
 		catalog.approvals = &approvals{}
 	}
 
--- a/internal/state/catalog/change_test.go
+++ b/internal/state/catalog/change_test.go
@@ -48,7 +48,7 @@
 
 // Guards against two conflicting changes that both come into force, and against a
 // resend that gets a different answer from the first submission.
-func TestRaces(t *testing.T) {
+func TestConflictingSubmissions(t *testing.T) {
 	l := newCommandLog(t)
 	is := is.New(t)
 	one, two := newDocument(1, "one"), newDocument(1, "two")
@@ -56,8 +56,8 @@
 	first := l.mustApply(submitCommand(Trial, 0, "c1", one))
 	lost := l.apply(submitCommand(Trial, 0, "c2", two))
 	is.Equal(lost.Kind, KindConflict)
-	is.Equal(lost.Winner.ChangeID, "c1")
-	is.Equal(lost.Winner.Status, Pending)
+	is.Equal(lost.ConflictingChange.ChangeID, "c1")
+	is.Equal(lost.ConflictingChange.Status, Pending)
 
 	l.mustRefuse(KindReused, submitCommand(Trial, 0, "c1", two))
 	l.mustApply(rejectCommand("bob", Trial, 1, document.Digest(one)))
@@ -68,13 +68,13 @@
 
 	l.mustAccept(Trial, two)
 	late := l.apply(submitCommand(Trial, 0, "c3", one))
-	is.Equal(late.Winner.Digest, document.Digest(two))
-	is.Equal(late.Winner.Status, Accepted)
+	is.Equal(late.ConflictingChange.Digest, document.Digest(two))
+	is.Equal(late.ConflictingChange.Status, Accepted)
 }
 
 // Guards against a signature made before a rejection that becomes valid again when
 // the same bytes are resubmitted.
-func TestRejectedBytes(t *testing.T) {
+func TestResubmitAfterRejection(t *testing.T) {
 	l := newCommandLog(t)
 	data := newDocument(1, "one")
 	digest := document.Digest(data)
@@ -170,7 +170,7 @@
 
 // Guards against unbounded history, and against a limit that drops documents that
 // can still be promoted.
-func TestHistoryBound(t *testing.T) {
+func TestHistoryLimit(t *testing.T) {
 	l := newCommandLog(t)
 	is := is.New(t)
 
--- a/internal/state/catalog/command.go
+++ b/internal/state/catalog/command.go
@@ -12,8 +12,8 @@
 	"jayspindle/internal/state/view"
 )
 
-// Format is the version byte of the command envelope.
-const Format = 1
+// CommandFormat is the version byte of the command envelope.
+const CommandFormat = 1
 
 // Command is the envelope of one log entry: the leader's time and exactly one
 // of the typed commands.
@@ -103,8 +103,8 @@
 	Role        Role           `cbor:"2,keyasint"`
 	Service     string         `cbor:"3,keyasint"` // name; empty for balancers
 	Zone        string         `cbor:"4,keyasint"`
-	Data        netip.AddrPort `cbor:"5,keyasint"` // UDP, datagrams
-	Peer        netip.AddrPort `cbor:"6,keyasint"` // UDP, links: peer address of an agent, relay of a balancer
+	DataAddress netip.AddrPort `cbor:"5,keyasint"` // UDP, datagrams
+	PeerAddress netip.AddrPort `cbor:"6,keyasint"` // UDP, links: peer address of an agent, relay of a balancer
 	Boot        BootID         `cbor:"7,keyasint"`
 	Signature   []byte         `cbor:"8,keyasint"` // with the service key over SignedText; empty for balancers
 }
@@ -112,7 +112,7 @@
 // SignedText returns the text that an agent signs with its service key.
 func (a Announce) SignedText() []byte {
 	return fmt.Appendf(nil, "jayspindle announce\n%s\n%s\n%s\n%s\n%s\n%s\n%x\n",
-		a.Environment, a.Role, a.Service, a.Zone, a.Data, a.Peer, a.Boot)
+		a.Environment, a.Role, a.Service, a.Zone, a.DataAddress, a.PeerAddress, a.Boot)
 }
 
 // Phase is a step of a planned leave.
@@ -121,7 +121,7 @@
 // The phases of a leave.
 const (
 	PhaseDraining Phase = "draining" // weight 0, no new work
-	PhaseGone     Phase = "gone"     // removed from the view
+	PhaseRemoved  Phase = "gone"     // removed from the view
 )
 
 // Leave drains a member that is about to stop, or removes it.
@@ -156,7 +156,7 @@
 // Encode returns the command as a log entry, stamped with the leader's time. It
 // sets Format.
 func (c Command) Encode(now time.Time) ([]byte, error) {
-	c.Format = Format
+	c.Format = CommandFormat
 	c.Time = now.UnixNano()
 
 	if count := c.count(); count != 1 {
@@ -179,8 +179,8 @@
 		return Command{}, err
 	}
 
-	if command.Format != Format {
-		return Command{}, fmt.Errorf("found format %d, allowed: %d", command.Format, Format)
+	if command.Format != CommandFormat {
+		return Command{}, fmt.Errorf("found format %d, allowed: %d", command.Format, CommandFormat)
 	}
 
 	if command.count() != 1 {
--- a/internal/state/catalog/error.go
+++ b/internal/state/catalog/error.go
@@ -28,7 +28,7 @@
 type Error struct {
 	operation string
 	kind      Kind
-	winner    *Winner
+	winner    *ConflictingChange
 	err       error
 }
 
@@ -45,9 +45,9 @@
 // Kind returns the kind of the error.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Winner returns the change that a submission conflicts with, or nil if the error
+// ConflictingChange returns the change that a submission conflicts with, or nil if the error
 // has another cause.
-func (e *Error) Winner() *Winner { return e.winner }
+func (e *Error) ConflictingChange() *ConflictingChange { return e.winner }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.err }
--- a/internal/state/catalog/fixture_test.go
+++ b/internal/state/catalog/fixture_test.go
@@ -35,7 +35,7 @@
 func newCatalog(t testing.TB) *Catalog {
 	t.Helper()
 
-	state, err := New(Founding{Owners: [2]Owner{{Name: "ann", Key: publicKey(1)}, {Name: "bob", Key: publicKey(2)}}})
+	state, err := New(GroupConfig{Owners: [2]Owner{{Name: "ann", Key: publicKey(1)}, {Name: "bob", Key: publicKey(2)}}})
 	is.New(t).NoErr(err)
 
 	return state
@@ -166,7 +166,7 @@
 func announceCommand(service string, number int, boot uint64) Command {
 	announce := Announce{
 		Environment: Trial, Role: RoleAgent, Service: service, Zone: "kokura",
-		Data: newAddress(number), Peer: newAddress(number), Boot: newBootID(boot),
+		DataAddress: newAddress(number), PeerAddress: newAddress(number), Boot: newBootID(boot),
 	}
 	announce.Signature = ed25519.Sign(serviceKey, announce.SignedText())
 
--- a/internal/state/catalog/member.go
+++ b/internal/state/catalog/member.go
@@ -109,13 +109,13 @@
 	result := Result{Incarnation: command.Incarnation}
 
 	switch {
-	case command.Phase != PhaseDraining && command.Phase != PhaseGone:
-		return refuse(KindInvalid, "found phase %q, allowed: %s, %s", command.Phase, PhaseDraining, PhaseGone), false
-	case !ok && command.Phase == PhaseGone && uint32(command.Incarnation) < e.nextIncarnation:
+	case command.Phase != PhaseDraining && command.Phase != PhaseRemoved:
+		return refuse(KindInvalid, "found phase %q, allowed: %s, %s", command.Phase, PhaseDraining, PhaseRemoved), false
+	case !ok && command.Phase == PhaseRemoved && uint32(command.Incarnation) < e.nextIncarnation:
 		return result, false // a resend, or removed after its lease expired
 	case !ok:
 		return refuse(KindUnknownMember, "incarnation %d is not announced in %s", command.Incarnation, e.name), false
-	case command.Phase == PhaseGone:
+	case command.Phase == PhaseRemoved:
 		e.retire(command.Incarnation)
 		result.Removed = []view.Incarnation{command.Incarnation}
 
--- a/internal/state/catalog/member_test.go
+++ b/internal/state/catalog/member_test.go
@@ -117,8 +117,8 @@
 	is.Equal(agent.State, view.Draining)
 	is.Equal(agent.Weight, uint8(0))
 
-	l.mustApply(leave(PhaseGone))
-	l.mustApply(leave(PhaseGone))
+	l.mustApply(leave(PhaseRemoved))
+	l.mustApply(leave(PhaseRemoved))
 	l.mustRefuse(KindUnknownMember, leave(PhaseDraining))
 	l.mustRefuse(KindSuperseded, announceCommand("s0", 1, 1))
 	is.Equal(len(assertView(t, l.state, Trial).Agents()), 0)
--- a/internal/state/catalog/race_test.go
+++ b/internal/state/catalog/race_test.go
@@ -132,7 +132,7 @@
 
 	switch w.random.IntN(8) {
 	case 0:
-		phase := []Phase{PhaseDraining, PhaseGone}[w.random.IntN(2)]
+		phase := []Phase{PhaseDraining, PhaseRemoved}[w.random.IntN(2)]
 
 		return Command{Leave: &Leave{Environment: Trial, Incarnation: incarnation, Phase: phase}}
 	case 1:
--- a/internal/state/catalog/record.go
+++ b/internal/state/catalog/record.go
@@ -71,8 +71,8 @@
 	return record
 }
 
-func (c *change) winner() *Winner {
-	return &Winner{ChangeID: c.ID, Author: c.Author, Version: c.Version, Digest: c.Digest, Status: c.Status}
+func (c *change) winner() *ConflictingChange {
+	return &ConflictingChange{ChangeID: c.ID, Author: c.Author, Version: c.Version, Digest: c.Digest, Status: c.Status}
 }
 
 func (c *change) signers() []string {
--- a/internal/state/catalog/result.go
+++ b/internal/state/catalog/result.go
@@ -17,9 +17,9 @@
 	Rejected Status = "rejected"
 )
 
-// Winner describes the change that a submission conflicts with, because it was
+// ConflictingChange describes the change that a submission conflicts with, because it was
 // first.
-type Winner struct {
+type ConflictingChange struct {
 	ChangeID string   `cbor:"1,keyasint" json:"change_id"`
 	Author   string   `cbor:"2,keyasint" json:"author"`
 	Version  uint64   `cbor:"3,keyasint" json:"version"`
@@ -30,21 +30,21 @@
 // Result is the answer to one command. Which fields are set depends on the
 // command; Kind is empty if the command is applied, now or by an earlier copy.
 type Result struct {
-	Index       uint64             `cbor:"1,keyasint,omitempty"` // log entry of the first command with this answer
-	Kind        Kind               `cbor:"2,keyasint,omitempty"`
-	Detail      string             `cbor:"3,keyasint,omitempty"` // reason of a refusal
-	Environment string             `cbor:"4,keyasint,omitempty"`
-	Version     uint64             `cbor:"5,keyasint,omitempty"`
-	Digest      [32]byte           `cbor:"6,keyasint"`
-	Status      Status             `cbor:"7,keyasint,omitempty"` // of the change
-	Signers     []string           `cbor:"8,keyasint,omitempty"` // owners whose signatures the change has
-	Winner      *Winner            `cbor:"9,keyasint,omitempty"` // with KindConflict, if there is such a change
-	Incarnation view.Incarnation   `cbor:"10,keyasint,omitempty"`
-	Weight      uint8              `cbor:"11,keyasint,omitempty"`
-	Flapping    bool               `cbor:"12,keyasint,omitempty"` // the announced address restarts too often
-	Removed     []view.Incarnation `cbor:"13,keyasint,omitempty"` // replaced or expired members
-	Rotation    uint64             `cbor:"14,keyasint,omitempty"` // fabric keys rotated so far
-	KeyID       uint8              `cbor:"15,keyasint,omitempty"` // of the newest fabric key
+	Index             uint64             `cbor:"1,keyasint,omitempty"` // log entry of the first command with this answer
+	Kind              Kind               `cbor:"2,keyasint,omitempty"`
+	Detail            string             `cbor:"3,keyasint,omitempty"` // reason of a refusal
+	Environment       string             `cbor:"4,keyasint,omitempty"`
+	Version           uint64             `cbor:"5,keyasint,omitempty"`
+	Digest            [32]byte           `cbor:"6,keyasint"`
+	Status            Status             `cbor:"7,keyasint,omitempty"` // of the change
+	Signers           []string           `cbor:"8,keyasint,omitempty"` // owners whose signatures the change has
+	ConflictingChange *ConflictingChange `cbor:"9,keyasint,omitempty"` // with KindConflict, if there is such a change
+	Incarnation       view.Incarnation   `cbor:"10,keyasint,omitempty"`
+	Weight            uint8              `cbor:"11,keyasint,omitempty"`
+	Flapping          bool               `cbor:"12,keyasint,omitempty"` // the announced address restarts too often
+	Removed           []view.Incarnation `cbor:"13,keyasint,omitempty"` // replaced or expired members
+	Rotation          uint64             `cbor:"14,keyasint,omitempty"` // fabric keys rotated so far
+	KeyID             uint8              `cbor:"15,keyasint,omitempty"` // of the newest fabric key
 }
 
 // Err returns nil if the command was applied, and a *Error otherwise.
@@ -54,7 +54,7 @@
 	}
 
 	failure := newError("apply", r.Kind, errors.New(r.Detail))
-	failure.winner = r.Winner
+	failure.winner = r.ConflictingChange
 
 	return failure
 }
--- a/internal/state/catalog/snapshot.go
+++ b/internal/state/catalog/snapshot.go
@@ -164,7 +164,7 @@
 			len(s.Ledgers), len(s.Environments))
 	}
 
-	restored, err := New(Founding{
+	restored, err := New(GroupConfig{
 		Cluster: s.Cluster, Generation: s.Generation, Owners: s.Owners, Preapproved: s.Approvals != nil,
 	})
 	if err != nil {
--- a/internal/state/catalog/submit.go
+++ b/internal/state/catalog/submit.go
@@ -160,7 +160,7 @@
 	result.Environment, result.Version = l.name, l.version
 
 	if winner != nil {
-		result.Winner = winner.winner()
+		result.ConflictingChange = winner.winner()
 	}
 
 	return result, true
--- a/internal/testing/capacity/documentcost.go
+++ b/internal/testing/capacity/documentcost.go
@@ -128,7 +128,7 @@
 var owners = [2]string{"ann", "bob"}
 
 func newJournal() *journal {
-	founding := catalog.Founding{}
+	founding := catalog.GroupConfig{}
 	for i, name := range owners {
 		founding.Owners[i] = catalog.Owner{Name: name, Key: keyOf(byte(i + 1)).Public().(ed25519.PublicKey)}
 	}
--- a/internal/testing/capacity/logcost.go
+++ b/internal/testing/capacity/logcost.go
@@ -149,7 +149,7 @@
 func announceOf(number, services, boot int) catalog.Command {
 	announce := catalog.Announce{
 		Environment: catalog.Trial, Role: catalog.RoleAgent, Service: serviceOf(number % services).Name,
-		Zone: zone(number), Data: address(1<<20+number, 7000), Peer: address(1<<20+number, 7001),
+		Zone: zone(number), DataAddress: address(1<<20+number, 7000), PeerAddress: address(1<<20+number, 7001),
 	}
 	binary.BigEndian.PutUint64(announce.Boot[:], uint64(number+1))
 	binary.BigEndian.PutUint64(announce.Boot[8:], uint64(boot))
@@ -162,7 +162,7 @@
 func (j *journal) restart(number int) {
 	agent := j.state.View(catalog.Trial).Agents()[0]
 
-	for _, phase := range []catalog.Phase{catalog.PhaseDraining, catalog.PhaseGone} {
+	for _, phase := range []catalog.Phase{catalog.PhaseDraining, catalog.PhaseRemoved} {
 		j.apply(catalog.Command{Leave: &catalog.Leave{
 			Environment: catalog.Trial, Incarnation: agent.Incarnation, Phase: phase,
 		}})
