--- a/internal/coordination/claim/history.go
+++ b/internal/coordination/claim/history.go
@@ -336,16 +336,17 @@
 
 // insert adds a membership at its position, unless that position is known already.
 func (h *History) insert(now time.Time, record MembershipRecord) {
-	index, found := slices.BinarySearchFunc(h.memberships, record.Position, func(m membership, position view.Position) int {
-		switch {
-		case m.position.Less(position):
-			return -1
-		case position.Less(m.position):
-			return 1
-		default:
-			return 0
-		}
-	})
+	index, found := slices.BinarySearchFunc(h.memberships, record.Position,
+		func(m membership, position view.Position) int {
+			switch {
+			case m.position.Less(position):
+				return -1
+			case position.Less(m.position):
+				return 1
+			default:
+				return 0
+			}
+		})
 	if found || len(record.Members) == 0 {
 		return
 	}
--- a/internal/coordination/claim/message.go
+++ b/internal/coordination/claim/message.go
@@ -215,7 +215,9 @@
 // ascending order of incarnation, because of equal scores the first one wins.
 func (p *HistorySnapshot) Check() error {
 	for _, record := range p.Memberships {
-		sorted := slices.IsSortedFunc(record.Members, func(a, b Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
+		sorted := slices.IsSortedFunc(record.Members, func(a, b Member) int {
+			return cmp.Compare(a.Incarnation, b.Incarnation)
+		})
 		if record.Age < 0 || p.CoveredDuration < 0 || len(record.Members) == 0 || !sorted {
 			return newError("check past", KindLimit, errors.Errorf("era at %s is not valid", record.Position))
 		}
--- a/internal/program/sidecar/checkpointer.go
+++ b/internal/program/sidecar/checkpointer.go
@@ -221,8 +221,8 @@
 		return
 	}
 
-	c.logger.Info("recalled the flows of an earlier start", "controller", controller.String(), "born", restored.BackendStart,
-		"epoch", restored.Epoch, "flows", len(restored.Flows))
+	c.logger.Info("recalled the flows of an earlier start", "controller", controller.String(),
+		"born", restored.BackendStart, "epoch", restored.Epoch, "flows", len(restored.Flows))
 
 	if !c.recoverFlows(restored) {
 		c.pendingFlows = append(c.pendingFlows, restored)
--- a/internal/program/sidecar/sidecar.go
+++ b/internal/program/sidecar/sidecar.go
@@ -109,7 +109,8 @@
 		Service: settings.Service, Boot: time.Now(), ReportInterval: settings.ReportInterval,
 	}, s.replyTimes.Observe)
 	s.follower = follower.New(follower.Config{
-		Conn: s.control, BootID: rand.Uint64(), Seeds: settings.Seeds, Events: events{s}, Announce: s.announce, Logger: logger,
+		Conn: s.control, BootID: rand.Uint64(), Seeds: settings.Seeds, Events: events{s}, Announce: s.announce,
+		Logger: logger,
 	})
 	s.checkpointer = newCheckpointer(s)
 
