--- a/internal/coordination/gate/backend.go
+++ b/internal/coordination/gate/backend.go
@@ -102,8 +102,8 @@
 		g.health = health{}
 	}
 
-	b.id, b.startMillis, b.sequence = report.ID, report.StartMillis, report.Sequence
-	b.slots, b.lastReport = report.Slots, now
+	b.id, b.startMillis, b.sequence, b.slots, b.lastReport =
+		report.ID, report.StartMillis, report.Sequence, report.Slots, now
 	b.coldUntil = now.Add(report.WarmUpRemaining)
 	b.state = serving
 
