--- a/internal/cli/cmd/operator.go
+++ b/internal/cli/cmd/operator.go
@@ -55,16 +55,16 @@
 		return fail(err)
 	}
 
-	store, err := identity.Open(config.Identity, slog.New(slog.DiscardHandler))
+	store, err := identity.OpenStore(config.Identity, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return fail(err)
 	}
 
 	connection := link.Dial(link.ClientOptions{
-		Addresses: config.Controllers,
-		Identity:  store,
-		Accept:    identity.Policy{Roles: []identity.Role{identity.RoleController}},
-		Random:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Addresses:  config.Controllers,
+		Identity:   store,
+		PeerPolicy: identity.Policy{Roles: []identity.Role{identity.RoleController}},
+		Random:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	defer connection.Close()
 
--- a/internal/coordination/forward/balancer.go
+++ b/internal/coordination/forward/balancer.go
@@ -241,7 +241,7 @@
 		return w.forwardTo(current, Direct, service, agent, source)
 	}
 
-	if !packet.First(len(payload)) {
+	if !packet.MayOpenFlow(len(payload)) {
 		return drop(NotFirst)
 	}
 
--- a/internal/coordination/forward/path_test.go
+++ b/internal/coordination/forward/path_test.go
@@ -95,7 +95,7 @@
 
 		decision := l.f.FromCaller(l.batchStart, service, payload, batch.Source(i))
 		if decision.Action == forward.Send {
-			framed := batch.Framed(i)
+			framed := batch.WithHeadroom(i)
 			l.f.Seal(framed, &decision.Header)
 			l.outbox.Add(l.out, framed, decision.To)
 		}
--- a/internal/program/agent/agent.go
+++ b/internal/program/agent/agent.go
@@ -79,7 +79,7 @@
 
 // New returns an agent. Run announces it to the controllers.
 func New(config Settings, observed *telemetry.Telemetry) (*Agent, error) {
-	store, err := identity.Open(config.Identity, observed.Logger())
+	store, err := identity.OpenStore(config.Identity, observed.Logger())
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -139,7 +139,7 @@
 func (a *Agent) listenPeers(store *identity.Store) error {
 	server, err := link.Listen(a.config.Peer, link.ServerOptions{
 		Identity: store,
-		Accept: identity.Policy{
+		PeerPolicy: identity.Policy{
 			Roles:       []identity.Role{identity.RoleAgent},
 			Environment: a.config.Instance.Environment,
 		},
--- a/internal/program/agent/fleet_test.go
+++ b/internal/program/agent/fleet_test.go
@@ -117,11 +117,11 @@
 // startController serves announcements, renewals, leaves and views until the
 // context ends.
 func (d *deployment) startController(ctx context.Context) {
-	store, err := identity.Open(d.issue(identity.RoleController, "controller"), slog.New(slog.DiscardHandler))
+	store, err := identity.OpenStore(d.issue(identity.RoleController, "controller"), slog.New(slog.DiscardHandler))
 	is.New(d.t).NoErr(err)
 
 	server, err := link.Listen(netip.MustParseAddrPort("127.0.0.1:0"), link.ServerOptions{
-		Identity: store, Accept: identity.Policy{Environment: environment}, Logger: slog.New(slog.DiscardHandler),
+		Identity: store, PeerPolicy: identity.Policy{Environment: environment}, Logger: slog.New(slog.DiscardHandler),
 	})
 	is.New(d.t).NoErr(err)
 
--- a/internal/program/agent/seats.go
+++ b/internal/program/agent/seats.go
@@ -26,7 +26,7 @@
 
 const (
 	// transferPartBytes is the size of the parts of a transfer, well below
-	// link.MaxFrame.
+	// link.MaxFrameBytes.
 	transferPartBytes = 1 << 20
 	// maxTransferBytes bounds a transfer in which every claim has its largest size.
 	maxTransferBytes    = 512 << 20
--- a/internal/program/agent/sibling.go
+++ b/internal/program/agent/sibling.go
@@ -52,10 +52,10 @@
 	client, ok := s.clients[agent.Incarnation]
 	if !ok {
 		client = link.Dial(link.ClientOptions{
-			Addresses: []netip.AddrPort{agent.Peer},
-			Identity:  s.identity,
-			Accept:    identity.Policy{Roles: []identity.Role{identity.RoleAgent}, Environment: s.environment},
-			Random:    rand.New(rand.NewPCG(s.random.Uint64(), s.random.Uint64())),
+			Addresses:  []netip.AddrPort{agent.Peer},
+			Identity:   s.identity,
+			PeerPolicy: identity.Policy{Roles: []identity.Role{identity.RoleAgent}, Environment: s.environment},
+			Random:     rand.New(rand.NewPCG(s.random.Uint64(), s.random.Uint64())),
 		})
 		s.clients[agent.Incarnation] = client
 	}
@@ -128,20 +128,20 @@
 // early on a sibling that it cannot reach, to leave time for another one.
 func (r *remoteRunner) send(ctx context.Context, stop func(), c *call) (*link.Stream, *result) {
 	message := &peer.Run{
-		Class:   c.class.Name,
-		Method:  c.method,
-		Target:  c.target,
-		Header:  c.header,
-		Body:    c.body,
-		Timeout: time.Until(c.deadline),
-		Start:   time.Until(c.startDeadline()),
-		Key:     c.key,
+		Class:        c.class.Name,
+		Method:       c.method,
+		Target:       c.target,
+		Header:       c.header,
+		Body:         c.body,
+		Timeout:      time.Until(c.deadline),
+		StartTimeout: time.Until(c.startDeadline()),
+		Key:          c.key,
 	}
 	if err := message.Check(); err != nil {
 		return nil, notRun(causeSibling, err.Error())
 	}
 
-	dialTimer := time.AfterFunc(min(siblingDialTimeout, message.Start), stop)
+	dialTimer := time.AfterFunc(min(siblingDialTimeout, message.StartTimeout), stop)
 	defer dialTimer.Stop()
 
 	stream, err := r.client.Stream(ctx, peer.MethodRun, message)
@@ -166,7 +166,7 @@
 	switch link.KindOf(err) {
 	case link.KindUnreachable:
 		return notRun(causeSiblingUnreachable, err.Error())
-	case link.KindClosing, link.KindMethod, link.KindBusy, link.KindRedirect, link.KindDenied:
+	case link.KindClosing, link.KindUnknownMethod, link.KindBusy, link.KindRedirect, link.KindDenied:
 		return notRun(causeSibling, err.Error())
 	default:
 		return unknown(causeSibling, err.Error())
@@ -276,7 +276,7 @@
 		header:   message.Header,
 		body:     message.Body,
 		deadline: time.Now().Add(message.Timeout),
-		startBy:  time.Now().Add(message.Start),
+		startBy:  time.Now().Add(message.StartTimeout),
 		key:      message.Key,
 	})
 
--- a/internal/program/balancer/balancer.go
+++ b/internal/program/balancer/balancer.go
@@ -61,7 +61,7 @@
 
 // New returns a balancer and binds its data address.
 func New(config Settings, tel *telemetry.Telemetry) (*Balancer, error) {
-	store, err := identity.Open(config.Identity, tel.Logger())
+	store, err := identity.OpenStore(config.Identity, tel.Logger())
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -104,7 +104,7 @@
 	return udp.Options{
 		Sockets:       b.config.Workers,
 		ReceiveBuffer: receiveBufferBytes,
-		Refused: func(destination netip.AddrPort, _ syscall.Errno) {
+		OnUnreachable: func(destination netip.AddrPort, _ syscall.Errno) {
 			if engine := b.engine.Load(); engine != nil {
 				engine.RecordRefusal(time.Now(), destination)
 			}
@@ -265,7 +265,7 @@
 				b.traceFirstPacket(batch.Payload(i), &decision)
 			}
 
-			framed := batch.Framed(i)
+			framed := batch.WithHeadroom(i)
 			worker.Seal(framed, &decision.Header)
 			outbox.Add(data, framed, decision.To)
 		}
--- a/internal/program/balancer/relay.go
+++ b/internal/program/balancer/relay.go
@@ -62,7 +62,7 @@
 
 	server, err := link.Listen(config.Relay, link.ServerOptions{
 		Identity: store,
-		Accept: identity.Policy{
+		PeerPolicy: identity.Policy{
 			Roles:       []identity.Role{identity.RoleAgent, identity.RoleBalancer},
 			Environment: environment,
 		},
@@ -79,7 +79,7 @@
 		upstream: link.Dial(link.ClientOptions{
 			Addresses: config.Upstreams,
 			Identity:  store,
-			Accept: identity.Policy{
+			PeerPolicy: identity.Policy{
 				Roles:       []identity.Role{identity.RoleController},
 				Environment: environment,
 			},
--- a/internal/program/controller/client.go
+++ b/internal/program/controller/client.go
@@ -21,7 +21,7 @@
 	for {
 		reply, err := callOnce[R](ctx, c, method, request)
 
-		unknown := link.KindOf(err) == link.KindGone || link.KindOf(err) == link.KindSilent
+		unknown := link.KindOf(err) == link.KindConnectionLost || link.KindOf(err) == link.KindPathTimeout
 		if err == nil || !unknown || ctx.Err() != nil {
 			return reply, err
 		}
--- a/internal/program/controller/controller.go
+++ b/internal/program/controller/controller.go
@@ -95,7 +95,7 @@
 
 	logger = logger.With("controller", settings.Name)
 
-	store, err := identity.Open(settings.Identity, logger)
+	store, err := identity.OpenStore(settings.Identity, logger)
 	if err != nil {
 		return nil, newError("open identity", KindSettings, err)
 	}
--- a/internal/program/controller/fixture_test.go
+++ b/internal/program/controller/fixture_test.go
@@ -164,12 +164,12 @@
 		addresses = append(addresses, g.settings[i].Listen)
 	}
 
-	store, err := identity.Open(g.files(holder), slog.New(slog.DiscardHandler))
+	store, err := identity.OpenStore(g.files(holder), slog.New(slog.DiscardHandler))
 	is.New(g.t).NoErr(err)
 
 	dialed := link.Dial(link.ClientOptions{
 		Addresses: addresses, Identity: store, Random: rand.New(rand.NewPCG(uint64(g.issued), 2)),
-		Accept: identity.Policy{Roles: []identity.Role{identity.RoleController}},
+		PeerPolicy: identity.Policy{Roles: []identity.Role{identity.RoleController}},
 	})
 	g.t.Cleanup(dialed.Close)
 
--- a/internal/program/controller/join.go
+++ b/internal/program/controller/join.go
@@ -93,7 +93,7 @@
 
 	var reply control.MembersReply
 
-	err := client.Call(ctx, control.MethodMembers, control.Members{Action: control.MembersHere}, &reply)
+	err := client.Call(ctx, control.MethodMembers, control.Members{Action: control.MembersLocal}, &reply)
 
 	return reply, err
 }
--- a/internal/program/controller/network.go
+++ b/internal/program/controller/network.go
@@ -73,10 +73,10 @@
 
 func (n *network) dialLocked(addresses ...netip.AddrPort) *link.Client {
 	return link.Dial(link.ClientOptions{
-		Addresses: addresses,
-		Identity:  n.store,
-		Accept:    identity.Policy{Roles: []identity.Role{identity.RoleController}},
-		Random:    rand.New(rand.NewPCG(n.random.Uint64(), n.random.Uint64())),
+		Addresses:  addresses,
+		Identity:   n.store,
+		PeerPolicy: identity.Policy{Roles: []identity.Role{identity.RoleController}},
+		Random:     rand.New(rand.NewPCG(n.random.Uint64(), n.random.Uint64())),
 	})
 }
 
--- a/internal/program/controller/serve.go
+++ b/internal/program/controller/serve.go
@@ -226,7 +226,7 @@
 		return nil, link.Errorf(link.KindDenied, "%s may not remove members", peer)
 	}
 
-	if request.Action == control.MembersHere {
+	if request.Action == control.MembersLocal {
 		reply := make(chan control.MembersReply, 1)
 
 		return sendEvent(ctx, c.inbox, &listMembers{reply: reply}, reply)
--- a/internal/program/member/member.go
+++ b/internal/program/member/member.go
@@ -102,7 +102,7 @@
 	return link.Dial(link.ClientOptions{
 		Addresses: addresses,
 		Identity:  options.Identity,
-		Accept: identity.Policy{
+		PeerPolicy: identity.Policy{
 			Roles:       []identity.Role{identity.RoleController, identity.RoleBalancer},
 			Environment: options.Environment,
 		},
--- a/internal/protocol/connid/connid_test.go
+++ b/internal/protocol/connid/connid_test.go
@@ -134,7 +134,7 @@
 			got := connid.Parse(c.packet)
 			is.New(t).Equal(got.Kind, c.kind)
 			is.New(t).Equal(len(got.DCID), c.length)
-			is.New(t).Equal(got.First(len(c.packet)), c.first)
+			is.New(t).Equal(got.MayOpenFlow(len(c.packet)), c.first)
 		})
 	}
 }
--- a/internal/protocol/connid/packet.go
+++ b/internal/protocol/connid/packet.go
@@ -102,10 +102,10 @@
 	return packet
 }
 
-// First reports whether a datagram of the given length may open a flow: it
+// MayOpenFlow reports whether a datagram of the given length may open a flow: it
 // starts with a client's Initial packet, or with a packet of a version that an
 // agent has to negotiate, and has the minimum size that QUIC requires for both.
-func (p Packet) First(length int) bool {
+func (p Packet) MayOpenFlow(length int) bool {
 	if length < MinInitialDatagram {
 		return false
 	}
--- a/internal/protocol/connid/quic_test.go
+++ b/internal/protocol/connid/quic_test.go
@@ -69,7 +69,7 @@
 			switch {
 			case ok && incarnation == 9000:
 				routedPackets++
-			case packet.First(len(datagram)):
+			case packet.MayOpenFlow(len(datagram)):
 				firstPackets++
 			default:
 				t.Errorf("packet of kind %d with connection ID %x cannot be forwarded", packet.Kind, packet.DCID)
--- a/internal/protocol/control/operator.go
+++ b/internal/protocol/control/operator.go
@@ -134,7 +134,7 @@
 // progress at a time.
 const (
 	MembersList    MembersAction = "list" // as known to the leader
-	MembersHere    MembersAction = "here" // as known to the controller that receives the request
+	MembersLocal   MembersAction = "here" // as known to the controller that receives the request
 	MembersAdd     MembersAction = "add"  // as a learner
 	MembersPromote MembersAction = "promote"
 	MembersRemove  MembersAction = "remove"
@@ -157,7 +157,7 @@
 
 // Check reports the first field out of bounds.
 func (m *Members) Check() error {
-	readOnly := m.Action == MembersList || m.Action == MembersHere
+	readOnly := m.Action == MembersList || m.Action == MembersLocal
 
 	return newValidator("members").
 		require(readOnly || m.Action == MembersAdd || m.Action == MembersPromote || m.Action == MembersRemove,
--- a/internal/protocol/peer/peer.go
+++ b/internal/protocol/peer/peer.go
@@ -53,14 +53,14 @@
 
 // Run asks another agent to run a request on its backend server.
 type Run struct {
-	Class   string        `cbor:"1,keyasint"`
-	Method  string        `cbor:"2,keyasint"`
-	Target  string        `cbor:"3,keyasint"` // path and query
-	Header  http.Header   `cbor:"4,keyasint"`
-	Body    []byte        `cbor:"5,keyasint,omitempty"`
-	Timeout time.Duration `cbor:"6,keyasint"` // time left until the deadline
-	Key     string        `cbor:"7,keyasint,omitempty"`
-	Start   time.Duration `cbor:"8,keyasint"` // time left until it has to be handed to the backend server
+	Class        string        `cbor:"1,keyasint"`
+	Method       string        `cbor:"2,keyasint"`
+	Target       string        `cbor:"3,keyasint"` // path and query
+	Header       http.Header   `cbor:"4,keyasint"`
+	Body         []byte        `cbor:"5,keyasint,omitempty"`
+	Timeout      time.Duration `cbor:"6,keyasint"` // time left until the deadline
+	Key          string        `cbor:"7,keyasint,omitempty"`
+	StartTimeout time.Duration `cbor:"8,keyasint"` // time left until it has to be handed to the backend server
 }
 
 // Check reports the first field out of bounds.
--- a/internal/testing/capacity/linkcost.go
+++ b/internal/testing/capacity/linkcost.go
@@ -239,7 +239,7 @@
 
 		files := identity.Files{Certificate: certificate, Key: key, Authorities: []string{path("ca.pem")}}
 
-		return identity.Open(files, slog.New(slog.DiscardHandler))
+		return identity.OpenStore(files, slog.New(slog.DiscardHandler))
 	}
 
 	controller, err = open(identity.Identity{
--- a/internal/testing/capacity/packetcost.go
+++ b/internal/testing/capacity/packetcost.go
@@ -137,7 +137,7 @@
 
 		decision := f.worker.FromCaller(now, f.services[number], payload, batch.Source(i))
 		if decision.Action == forward.Send {
-			framed := batch.Framed(i)
+			framed := batch.WithHeadroom(i)
 			f.worker.Seal(framed, &decision.Header)
 			f.outbox.Add(f.out, framed, decision.To)
 			f.sent++
--- a/internal/testing/measure/forwarding.go
+++ b/internal/testing/measure/forwarding.go
@@ -192,7 +192,7 @@
 			continue
 		}
 
-		framed := batch.Framed(i)
+		framed := batch.WithHeadroom(i)
 		r.worker.Seal(framed, &decision.Header)
 		r.outbox.Add(r.out, framed, decision.To)
 	}
--- a/internal/transport/identity/identity.go
+++ b/internal/transport/identity/identity.go
@@ -18,7 +18,7 @@
 //		Service:     "crew-link",
 //	}, "agent.pem", "agent.key", time.Now())
 //
-//	store, err := identity.Open(identity.Files{
+//	store, err := identity.OpenStore(identity.Files{
 //		Certificate: "agent.pem",
 //		Key:         "agent.key",
 //		Authorities: []string{"authority.pem"},
--- a/internal/transport/identity/identity_test.go
+++ b/internal/transport/identity/identity_test.go
@@ -53,7 +53,7 @@
 func (d deployment) open(files identity.Files) *identity.Store {
 	d.t.Helper()
 
-	store, err := identity.Open(files, slog.New(slog.DiscardHandler))
+	store, err := identity.OpenStore(files, slog.New(slog.DiscardHandler))
 	is.New(d.t).NoErr(err)
 
 	return store
--- a/internal/transport/identity/store.go
+++ b/internal/transport/identity/store.go
@@ -48,8 +48,8 @@
 	size     int64
 }
 
-// Open reads the files and returns a store of their content.
-func Open(files Files, logger *slog.Logger) (*Store, error) {
+// OpenStore reads the files and returns a store of their content.
+func OpenStore(files Files, logger *slog.Logger) (*Store, error) {
 	store := &Store{files: files, logger: logger}
 
 	versions, err := store.statFiles()
--- a/internal/transport/identity/tls.go
+++ b/internal/transport/identity/tls.go
@@ -7,8 +7,8 @@
 	"github.com/juju/errors"
 )
 
-// Protocol is the ALPN name (RFC 7301) of the control links.
-const Protocol = "jayspindle-link/1"
+// ALPNProtocol is the ALPN name (RFC 7301) of the control links.
+const ALPNProtocol = "jayspindle-link/1"
 
 // ServerTLS returns a server configuration that accepts the peers allowed by
 // the policy. Mutual authentication and TLS 1.3 (RFC 8446) are mandatory.
@@ -39,7 +39,7 @@
 func (s *Store) baseConfig(policy Policy) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		NextProtos: []string{Protocol},
+		NextProtos: []string{ALPNProtocol},
 		// A resumed session could belong to a peer whose authority is no longer trusted.
 		SessionTicketsDisabled: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
--- a/internal/transport/link/answer.go
+++ b/internal/transport/link/answer.go
@@ -52,7 +52,7 @@
 
 	switch {
 	case !unary && !streaming:
-		s.finish(stream, "unknown", errorEnvelope(Errorf(KindMethod, "method %q does not exist", call.Method)))
+		s.finish(stream, "unknown", errorEnvelope(Errorf(KindUnknownMethod, "method %q does not exist", call.Method)))
 	case !s.calls.begin():
 		s.finish(stream, call.Method, errorEnvelope(Errorf(KindClosing, "the server shuts down")))
 	case unary:
--- a/internal/transport/link/client.go
+++ b/internal/transport/link/client.go
@@ -21,9 +21,9 @@
 // ClientOptions configures a Client.
 type ClientOptions struct {
 	// Addresses lists the servers in order of preference.
-	Addresses []netip.AddrPort
-	Identity  *identity.Store
-	Accept    identity.Policy
+	Addresses  []netip.AddrPort
+	Identity   *identity.Store
+	PeerPolicy identity.Policy
 	// Random is the source of the backoff jitter. The caller must not use it
 	// after Dial.
 	Random *rand.Rand
@@ -55,7 +55,7 @@
 
 // Call sends a request and decodes the reply into reply, a pointer or nil. It
 // waits for a connection and follows redirects until ctx ends. A request that
-// may have reached a server is never sent twice: KindSilent, KindGone and
+// may have reached a server is never sent twice: KindPathTimeout, KindConnectionLost and
 // KindDeadline mean that the outcome is unknown.
 func (c *Client) Call(ctx context.Context, method string, request, reply any) error {
 	for redirects := 0; ; redirects++ {
@@ -111,7 +111,7 @@
 	return c.current.peer, c.current.address, true
 }
 
-// Close closes the connection. Calls in progress fail with KindGone.
+// Close closes the connection. Calls in progress fail with KindConnectionLost.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	session := c.current
@@ -183,7 +183,7 @@
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 
-	next, err := dialSession(dialCtx, address, c.options.Identity.ClientTLS(c.options.Accept))
+	next, err := dialSession(dialCtx, address, c.options.Identity.ClientTLS(c.options.PeerPolicy))
 	if err != nil {
 		return nil, err
 	}
@@ -226,9 +226,9 @@
 		}
 	case KindClosing:
 		c.avoidAddress(failed)
-	case KindSilent:
+	case KindPathTimeout:
 		return c.probe(ctx, failed, typed)
-	case KindGone:
+	case KindConnectionLost:
 		metrics.Add(metricGone, 1)
 		c.avoidAddress(failed)
 	}
@@ -263,7 +263,7 @@
 	metrics.Add(metricGone, 1)
 	c.avoidAddress(failed)
 
-	return &Error{operation: cause.operation, kind: KindGone, err: cause.err}
+	return &Error{operation: cause.operation, kind: KindConnectionLost, err: cause.err}
 }
 
 // demoteAddress moves an address to the end of the list after a failed dial, so
--- a/internal/transport/link/error.go
+++ b/internal/transport/link/error.go
@@ -17,21 +17,21 @@
 // The kinds of errors of this package. The first five are failures of the link
 // itself, the others usually come from the handler at the server.
 const (
-	KindUnreachable Kind = "unreachable" // no connection; the request was not sent
-	KindSilent      Kind = "silent"      // the idle timeout expired; the outcome is unknown
-	KindGone        Kind = "gone"        // the peer closed or lost the connection; the outcome is unknown
-	KindDeadline    Kind = "deadline"    // the deadline passed; the outcome is unknown
-	KindTooLarge    Kind = "too-large"   // a frame exceeds MaxFrame
-
-	KindRedirect Kind = "redirect"  // not run; the leader is at the redirect address, if that is known
-	KindClosing  Kind = "closing"   // not run; the server is shutting down
-	KindMethod   Kind = "method"    // not run; the method does not exist
-	KindInvalid  Kind = "invalid"   // the request is malformed or a field is out of range
-	KindDenied   Kind = "denied"    // the caller may not do this
-	KindNotFound Kind = "not-found" // the object does not exist
-	KindConflict Kind = "conflict"  // the state has changed since the caller read it
-	KindBusy     Kind = "busy"      // not run; a queue is full
-	KindInternal Kind = "internal"  // the handler failed
+	KindUnreachable    Kind = "unreachable" // no connection; the request was not sent
+	KindPathTimeout    Kind = "silent"      // the idle timeout expired; the outcome is unknown
+	KindConnectionLost Kind = "gone"        // the peer closed or lost the connection; the outcome is unknown
+	KindDeadline       Kind = "deadline"    // the deadline passed; the outcome is unknown
+	KindTooLarge       Kind = "too-large"   // a frame exceeds MaxFrameBytes
+
+	KindRedirect      Kind = "redirect"  // not run; the leader is at the redirect address, if that is known
+	KindClosing       Kind = "closing"   // not run; the server is shutting down
+	KindUnknownMethod Kind = "method"    // not run; the method does not exist
+	KindInvalid       Kind = "invalid"   // the request is malformed or a field is out of range
+	KindDenied        Kind = "denied"    // the caller may not do this
+	KindNotFound      Kind = "not-found" // the object does not exist
+	KindConflict      Kind = "conflict"  // the state has changed since the caller read it
+	KindBusy          Kind = "busy"      // not run; a queue is full
+	KindInternal      Kind = "internal"  // the handler failed
 )
 
 // Error is the error type of this package.
@@ -96,17 +96,17 @@
 		application *quic.ApplicationError
 	)
 
-	kind := KindGone
+	kind := KindConnectionLost
 
 	switch {
 	case errors.As(err, &typed):
 		return typed
 	case errors.As(err, &idle):
-		kind = KindSilent
+		kind = KindPathTimeout
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		kind = KindDeadline
 	case errors.As(err, &application):
-		kind = KindGone
+		kind = KindConnectionLost
 	}
 
 	return &Error{operation: operation, kind: kind, err: err}
--- a/internal/transport/link/frame.go
+++ b/internal/transport/link/frame.go
@@ -60,10 +60,10 @@
 		return 0, &Error{operation: "encode", kind: KindInvalid, err: err}
 	}
 
-	if len(encoded) > MaxFrame {
+	if len(encoded) > MaxFrameBytes {
 		return 0, &Error{
 			operation: "write", kind: KindTooLarge,
-			err: errors.Errorf("a frame of %d bytes exceeds %d", len(encoded), MaxFrame),
+			err: errors.Errorf("a frame of %d bytes exceeds %d", len(encoded), MaxFrameBytes),
 		}
 	}
 
@@ -75,7 +75,7 @@
 }
 
 // readFrame reads the content of one frame. The buffer grows with the bytes
-// received, so a false length prefix cannot make the receiver allocate MaxFrame.
+// received, so a false length prefix cannot make the receiver allocate MaxFrameBytes.
 func readFrame(reader io.Reader) ([]byte, error) {
 	var prefix [lengthPrefixBytes]byte
 	if _, err := io.ReadFull(reader, prefix[:]); err != nil {
@@ -83,10 +83,10 @@
 	}
 
 	size := binary.BigEndian.Uint32(prefix[:])
-	if size > MaxFrame {
+	if size > MaxFrameBytes {
 		return nil, &Error{
 			operation: "read", kind: KindTooLarge,
-			err: errors.Errorf("a frame of %d bytes exceeds %d", size, MaxFrame),
+			err: errors.Errorf("a frame of %d bytes exceeds %d", size, MaxFrameBytes),
 		}
 	}
 
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -5,7 +5,7 @@
 //
 // A server registers its methods and serves until its context ends:
 //
-//	server, err := link.Listen(address, link.ServerOptions{Identity: store, Accept: policy, Logger: logger})
+//	server, err := link.Listen(address, link.ServerOptions{Identity: store, PeerPolicy: policy, Logger: logger})
 //	server.Handle("submit", func(ctx context.Context, request *link.Request) (any, error) {
 //		var submit control.Submit
 //		if err := request.Decode(&submit); err != nil {
@@ -19,22 +19,22 @@
 // A client dials on first use, over several addresses in turn, and follows
 // redirects to the leader:
 //
-//	client := link.Dial(link.ClientOptions{Addresses: addresses, Identity: store, Accept: policy, Random: random})
+//	client := link.Dial(link.ClientOptions{Addresses: addresses, Identity: store, PeerPolicy: policy, Random: random})
 //	err := client.Call(ctx, "submit", submit, &reply)
 //	stream, err := client.Stream(ctx, "watch", watch)
 //	err = stream.Next(&update)
 //
 // Each call and each stream uses one QUIC stream of length-prefixed CBOR
-// (RFC 8949) frames of at most MaxFrame bytes. A handler's error is sent to the
+// (RFC 8949) frames of at most MaxFrameBytes. A handler's error is sent to the
 // caller with its kind, message and redirect.
 //
 // # Liveness
 //
 // Both ends send keep-alives. A connection that receives no packet for
-// SilenceLimit is closed, and the client dials the same address from a new socket
-// at once. If that succeeds, only the old path had failed (KindSilent; a NAT or
+// PathTimeout is closed, and the client dials the same address from a new socket
+// at once. If that succeeds, only the old path had failed (KindPathTimeout; a NAT or
 // firewall on the path may have lost its state). If it fails, the peer counts as
-// gone (KindGone) and the next address is tried.
+// gone (KindConnectionLost) and the next address is tried.
 package link
 
 import (
@@ -44,15 +44,15 @@
 )
 
 const (
-	// MaxFrame is the size of the largest frame in bytes. A document of 1 MiB
+	// MaxFrameBytes is the size of the largest frame in bytes. A document of 1 MiB
 	// and its envelope fit.
-	MaxFrame = 2 << 20
+	MaxFrameBytes = 2 << 20
 
-	// SilenceLimit is the time within which a path that delivers no packets is
+	// PathTimeout is the time within which a path that delivers no packets is
 	// detected. The idle timeout restarts at the first keep-alive sent after the
 	// last packet received, so the limit is keepAlivePeriod + idleTimeout and a
 	// margin.
-	SilenceLimit = 3 * time.Second
+	PathTimeout = 3 * time.Second
 
 	keepAlivePeriod = 800 * time.Millisecond
 	idleTimeout     = 2 * time.Second
@@ -70,8 +70,8 @@
 
 	// maxConnectionWindow and maxStreamWindow are the flow control windows in
 	// bytes. They limit the received data that a connection buffers.
-	maxConnectionWindow = 4 * MaxFrame
-	maxStreamWindow     = MaxFrame
+	maxConnectionWindow = 4 * MaxFrameBytes
+	maxStreamWindow     = MaxFrameBytes
 )
 
 // The application error codes of the QUIC connection and its streams.
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -73,7 +73,7 @@
 	holder := identity.Identity{Role: role, Environment: identity.AllEnvironments, Name: name}
 	is.New(n.t).NoErr(n.authority.Issue(holder, files.Certificate, files.Key, time.Now()))
 
-	store, err := identity.Open(files, logger)
+	store, err := identity.OpenStore(files, logger)
 	is.New(n.t).NoErr(err)
 
 	return store
@@ -85,9 +85,9 @@
 	n.t.Helper()
 
 	server, err := link.Listen(loopback, link.ServerOptions{
-		Identity: n.store(identity.RoleController, name),
-		Accept:   identity.Policy{Roles: []identity.Role{identity.RoleOperator}},
-		Logger:   logger,
+		Identity:   n.store(identity.RoleController, name),
+		PeerPolicy: identity.Policy{Roles: []identity.Role{identity.RoleOperator}},
+		Logger:     logger,
 	})
 	is.New(n.t).NoErr(err)
 	register(server)
@@ -111,10 +111,10 @@
 	n.t.Helper()
 
 	client := link.Dial(link.ClientOptions{
-		Addresses: addresses,
-		Identity:  n.store(identity.RoleOperator, name),
-		Accept:    identity.Policy{Roles: []identity.Role{identity.RoleController}},
-		Random:    rand.New(rand.NewPCG(1, 2)),
+		Addresses:  addresses,
+		Identity:   n.store(identity.RoleOperator, name),
+		PeerPolicy: identity.Policy{Roles: []identity.Role{identity.RoleController}},
+		Random:     rand.New(rand.NewPCG(1, 2)),
 	})
 	n.t.Cleanup(client.Close)
 
@@ -144,7 +144,7 @@
 			return nil, link.Errorf(link.KindConflict, "version %d won", 7)
 		})
 		s.Handle("large", func(context.Context, *link.Request) (any, error) {
-			return message{Text: string(make([]byte, link.MaxFrame))}, nil
+			return message{Text: string(make([]byte, link.MaxFrameBytes))}, nil
 		})
 		s.Handle("deadline", func(ctx context.Context, _ *link.Request) (any, error) {
 			deadline, ok := ctx.Deadline()
@@ -166,9 +166,9 @@
 		"peer":      {"echo", "who", "operator", ""},
 		"bounds":    {"echo", "out of bounds", "", link.KindInvalid},
 		"conflict":  {"conflict", "", "", link.KindConflict},
-		"method":    {"absent", "", "", link.KindMethod},
+		"method":    {"absent", "", "", link.KindUnknownMethod},
 		"too large": {"large", "", "", link.KindTooLarge},
-		"request":   {"echo", string(make([]byte, link.MaxFrame)), "", link.KindTooLarge},
+		"request":   {"echo", string(make([]byte, link.MaxFrameBytes)), "", link.KindTooLarge},
 		"deadline":  {"deadline", "", "", ""},
 	}
 
--- a/internal/transport/link/server.go
+++ b/internal/transport/link/server.go
@@ -52,9 +52,9 @@
 
 // ServerOptions configures a Server.
 type ServerOptions struct {
-	Identity *identity.Store
-	Accept   identity.Policy
-	Logger   *slog.Logger
+	Identity   *identity.Store
+	PeerPolicy identity.Policy
+	Logger     *slog.Logger
 }
 
 // Server accepts connections and answers their calls. Methods must be registered
@@ -80,7 +80,7 @@
 
 	transport := &quic.Transport{Conn: socket}
 
-	listener, err := transport.Listen(options.Identity.ServerTLS(options.Accept), quicConfig())
+	listener, err := transport.Listen(options.Identity.ServerTLS(options.PeerPolicy), quicConfig())
 	if err != nil {
 		socket.Close() //nolint:errcheck // nothing was sent
 
--- a/internal/transport/link/silence_test.go
+++ b/internal/transport/link/silence_test.go
@@ -123,8 +123,8 @@
 		all  bool
 		kind link.Kind
 	}{
-		"path": {false, link.KindSilent},
-		"peer": {true, link.KindGone},
+		"path": {false, link.KindPathTimeout},
+		"peer": {true, link.KindConnectionLost},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/transport/udp/batch.go
+++ b/internal/transport/udp/batch.go
@@ -76,11 +76,11 @@
 func (b *Batch) Len() int { return b.count }
 
 // Payload returns the i-th datagram.
-func (b *Batch) Payload(i int) []byte { return b.Framed(i)[b.config.Headroom:] }
+func (b *Batch) Payload(i int) []byte { return b.WithHeadroom(i)[b.config.Headroom:] }
 
-// Framed returns the i-th datagram with the headroom in front of it. Its
+// WithHeadroom returns the i-th datagram with the headroom in front of it. Its
 // capacity ends with its slot, so appending cannot reach another datagram.
-func (b *Batch) Framed(i int) []byte {
+func (b *Batch) WithHeadroom(i int) []byte {
 	slot := b.slot(i)
 
 	return slot[: b.config.Headroom+int(b.headers[i].Len) : len(slot)]
--- a/internal/transport/udp/socket.go
+++ b/internal/transport/udp/socket.go
@@ -9,7 +9,7 @@
 //	outbox := udp.NewOutbox(64)
 //	err = sockets[i].Serve(pool, func(batch *udp.Batch) {
 //		for j := range batch.Len() {
-//			outbox.Add(data, batch.Framed(j), destination)
+//			outbox.Add(data, batch.WithHeadroom(j), destination)
 //		}
 //		outbox.Flush()
 //	})
@@ -38,10 +38,10 @@
 	ReceiveBuffer int // bytes; 0 keeps the system default
 	SendBuffer    int // bytes; 0 keeps the system default
 
-	// Refused is called with each unreachable destination of a datagram and the
+	// OnUnreachable is called with each unreachable destination of a datagram and the
 	// cause, for example ECONNREFUSED. It is called by any goroutine that uses
 	// the socket, but not concurrently for one socket.
-	Refused func(destination netip.AddrPort, cause syscall.Errno)
+	OnUnreachable func(destination netip.AddrPort, cause syscall.Errno)
 }
 
 // Socket is an unconnected UDP socket of one address family. It is safe for
@@ -139,7 +139,7 @@
 	}
 
 	s.raw = raw
-	s.errorQueue.report = options.Refused
+	s.errorQueue.report = options.OnUnreachable
 	s.errorQueue.family = s.family
 
 	if options.ReceiveBuffer > 0 {
--- a/internal/transport/udp/udp_test.go
+++ b/internal/transport/udp/udp_test.go
@@ -81,7 +81,7 @@
 	is.New(t).NoErr(client.Serve(udp.NewPool(1, batchConfig), func(batch *udp.Batch) {
 		for i := range batch.Len() {
 			is.New(t).Equal(batch.Source(i), server.Address())
-			is.New(t).Equal(len(batch.Framed(i)), batchConfig.Headroom+len(batch.Payload(i)))
+			is.New(t).Equal(len(batch.WithHeadroom(i)), batchConfig.Headroom+len(batch.Payload(i)))
 
 			got = append(got, string(batch.Payload(i)))
 		}
@@ -120,7 +120,7 @@
 	closed := open(t, "127.0.0.1:0", udp.Options{})[0]
 	is.New(t).NoErr(closed.Close())
 
-	client := open(t, "127.0.0.1:0", udp.Options{Refused: recorder.record})[0]
+	client := open(t, "127.0.0.1:0", udp.Options{OnUnreachable: recorder.record})[0]
 	server := open(t, "127.0.0.1:0", udp.Options{})[0]
 	destinations := []netip.AddrPort{server.Address(), server.Address()}
 	destinations[position] = closed.Address()
