--- a/internal/coordination/gate/queue_test.go
+++ b/internal/coordination/gate/queue_test.go
@@ -40,16 +40,16 @@
 
 	table, err := route.New(&route.Document{Version: 1, Services: []string{"desk"}, Routes: []route.Route{
 		{
-			Name: "urgent", Address: urgent.AddrPort(), Timeout: timeout, Aim: aim, Priority: 1,
+			Name: "urgent", Address: urgent.AddrPort(), Timeout: timeout, TargetLatency: aim, Priority: 1,
 			Targets: []route.Target{{Service: "desk", Weight: 1}},
 		},
 		{
-			Name: "normal", Address: normal.AddrPort(), Timeout: timeout, Aim: aim, Priority: 2,
+			Name: "normal", Address: normal.AddrPort(), Timeout: timeout, TargetLatency: aim, Priority: 2,
 			Targets: []route.Target{{Service: "desk", Weight: 1}},
 		},
 	}})
 	s.is.NoErr(err)
-	s.gate.Follow(table)
+	s.gate.SetTable(table)
 
 	r := report(start, 1)
 	r.Slots = slots
@@ -106,7 +106,7 @@
 func (s *slotFixture) started() []flow.Key {
 	var keys []flow.Key
 
-	for _, started := range s.gate.Start(s.now) {
+	for _, started := range s.gate.StartQueued(s.now) {
 		s.is.True(len(started.Packets) > 0)
 		keys = append(keys, started.Key)
 	}
--- a/internal/program/agent/agent.go
+++ b/internal/program/agent/agent.go
@@ -79,7 +79,7 @@
 
 // New returns an agent. Run announces it to the controllers.
 func New(config Settings, observed *telemetry.Telemetry) (*Agent, error) {
-	store, err := identity.Open(config.Identity, observed.Logger())
+	store, err := identity.OpenStore(config.Identity, observed.Logger())
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -97,7 +97,7 @@
 		logger:     observed.Logger(),
 		serviceKey: key,
 		gate:       newGate(admission.Policy{Slots: 1}),
-		backend:    newBackendServer(config.Backend, config.HealthPath, config.BackendSilent),
+		backend:    newBackendServer(config.Backend, config.HealthPath, config.BackendResponseTimeout),
 		siblings:   newSiblings(store, config.Instance.Environment, rand.New(rand.NewPCG(random.Uint64(), 0))),
 	}
 	a.matcher.Store(document.NewMatcher(nil))
@@ -121,7 +121,7 @@
 	a.claims = newClaims(claimOptions{
 		service:       config.Service,
 		zone:          config.Instance.Zone,
-		capacity:      config.ClaimsAtMost,
+		capacity:      config.MaxClaims,
 		self:          a.member.Incarnation,
 		serviceID:     func() view.ServiceID { return view.ServiceID(a.serviceID.Load()) },
 		viewConfirmed: a.member.Confirmed,
@@ -139,7 +139,7 @@
 func (a *Agent) listenPeers(store *identity.Store) error {
 	server, err := link.Listen(a.config.Peer, link.ServerOptions{
 		Identity: store,
-		Accept: identity.Policy{
+		PeerPolicy: identity.Policy{
 			Roles:       []identity.Role{identity.RoleAgent},
 			Environment: a.config.Instance.Environment,
 		},
@@ -267,7 +267,7 @@
 	defer a.member.Close()
 	defer a.siblings.close()
 
-	if err := a.member.Wait(ctx); err != nil {
+	if err := a.member.WaitReady(ctx); err != nil {
 		return errors.Trace(err)
 	}
 
@@ -276,7 +276,7 @@
 
 // errReplaced stops an agent that has been assigned a new incarnation. Balancers
 // no longer send to the old one.
-var errReplaced = errors.New("the controllers have forgotten the agent, it must start anew")
+var errReplaced = errors.New("the controllers no longer know this incarnation, the agent must be restarted")
 
 // serve accepts flows until the context ends, then drains.
 func (a *Agent) serve(ctx context.Context) error {
--- a/internal/program/agent/fleet_test.go
+++ b/internal/program/agent/fleet_test.go
@@ -117,11 +117,11 @@
 // startController serves announcements, renewals, leaves and views until the
 // context ends.
 func (d *deployment) startController(ctx context.Context) {
-	store, err := identity.Open(d.issue(identity.RoleController, "controller"), slog.New(slog.DiscardHandler))
+	store, err := identity.OpenStore(d.issue(identity.RoleController, "controller"), slog.New(slog.DiscardHandler))
 	is.New(d.t).NoErr(err)
 
 	server, err := link.Listen(netip.MustParseAddrPort("127.0.0.1:0"), link.ServerOptions{
-		Identity: store, Accept: identity.Policy{Environment: environment}, Logger: slog.New(slog.DiscardHandler),
+		Identity: store, PeerPolicy: identity.Policy{Environment: environment}, Logger: slog.New(slog.DiscardHandler),
 	})
 	is.New(d.t).NoErr(err)
 
@@ -193,7 +193,7 @@
 	defer d.mutex.Unlock()
 
 	d.publishChange(func(contents *view.Contents) {
-		gone := message.Phase == control.PhaseGone
+		gone := message.Phase == control.PhaseRemoved
 		contents.Agents = slices.DeleteFunc(slices.Clone(contents.Agents), func(a view.Agent) bool {
 			return gone && a.Incarnation == message.Incarnation
 		})
@@ -289,7 +289,7 @@
 	program, err := agent.New(agent.Settings{
 		Instance: d.instance(name, number), Identity: d.issue(identity.RoleAgent, name),
 		Upstreams: []netip.AddrPort{d.upstream}, Service: service, ServiceKey: d.path("service.key"),
-		CallerTLS: agent.TLS{Certificate: d.path("service.pem"), Key: d.path("service.key")},
+		CallerTLS: agent.CertificateFiles{Certificate: d.path("service.pem"), Key: d.path("service.key")},
 		Data:      d.freeAddress("udp"), Peer: d.freeAddress("udp"), Backend: listen, HealthPath: "/healthz",
 		DrainTimeout: time.Second,
 	}, observed)
@@ -370,11 +370,11 @@
 	result, err := client.Run(ctx)
 	is.NoErr(err)
 
-	if !result.Kept() {
+	if !result.Passed() {
 		result.WriteTable(t.Output())
 	}
 
-	is.True(result.Kept())
+	is.True(result.Passed())
 	is.True(result.FeedMoves > 0)
 	is.True(result.FeedEvents > 0)
 
--- a/internal/program/balancer/balancer.go
+++ b/internal/program/balancer/balancer.go
@@ -61,7 +61,7 @@
 
 // New returns a balancer and binds its data address.
 func New(config Settings, tel *telemetry.Telemetry) (*Balancer, error) {
-	store, err := identity.Open(config.Identity, tel.Logger())
+	store, err := identity.OpenStore(config.Identity, tel.Logger())
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -104,9 +104,9 @@
 	return udp.Options{
 		Sockets:       b.config.Workers,
 		ReceiveBuffer: receiveBufferBytes,
-		Refused: func(destination netip.AddrPort, _ syscall.Errno) {
+		OnUnreachable: func(destination netip.AddrPort, _ syscall.Errno) {
 			if engine := b.engine.Load(); engine != nil {
-				engine.Refused(time.Now(), destination)
+				engine.RecordRefusal(time.Now(), destination)
 			}
 		},
 	}
@@ -155,7 +155,7 @@
 	tasks.Go(func() { b.member.Run(runCtx) })
 	tasks.Go(func() { b.relay.run(runCtx) })
 
-	if err := b.member.Wait(ctx); err != nil {
+	if err := b.member.WaitReady(ctx); err != nil {
 		for _, socket := range b.data {
 			_ = socket.Close() // no datagram was served yet
 		}
@@ -203,7 +203,7 @@
 	defer timer.Stop()
 
 	<-timer.C
-	b.announcePhase(ctx, control.PhaseGone)
+	b.announcePhase(ctx, control.PhaseRemoved)
 	b.member.Close()
 }
 
@@ -261,11 +261,11 @@
 				continue
 			}
 
-			if decision.Reason == forward.First || decision.Reason == forward.FirstFurther {
+			if decision.Reason == forward.First || decision.Reason == forward.FirstFallback {
 				b.traceFirstPacket(batch.Payload(i), &decision)
 			}
 
-			framed := batch.Framed(i)
+			framed := batch.WithHeadroom(i)
 			worker.Seal(framed, &decision.Header)
 			outbox.Add(data, framed, decision.To)
 		}
--- a/internal/program/controller/controller.go
+++ b/internal/program/controller/controller.go
@@ -95,7 +95,7 @@
 
 	logger = logger.With("controller", settings.Name)
 
-	store, err := identity.Open(settings.Identity, logger)
+	store, err := identity.OpenStore(settings.Identity, logger)
 	if err != nil {
 		return nil, newError("open identity", KindSettings, err)
 	}
@@ -258,7 +258,7 @@
 		return owner, nil
 	}
 
-	return owner, owner.start(time.Now(), c.log.Stored())
+	return owner, owner.start(time.Now(), c.log.TakeStored())
 }
 
 // serveDebug serves expvar on loopback until ctx ends.
--- a/internal/program/controller/join.go
+++ b/internal/program/controller/join.go
@@ -93,7 +93,7 @@
 
 	var reply control.MembersReply
 
-	err := client.Call(ctx, control.MethodMembers, control.Members{Action: control.MembersHere}, &reply)
+	err := client.Call(ctx, control.MethodMembers, control.Members{Action: control.MembersLocal}, &reply)
 
 	return reply, err
 }
@@ -209,7 +209,7 @@
 
 	// The snapshot is saved before the group identity. After a crash in between,
 	// the replica belongs to no group and continues with the same snapshot.
-	stored := o.log.Stored()
+	stored := o.log.TakeStored()
 	if stored.Snapshot.Index == 0 {
 		if stored.Snapshot, err = c.createSnapshot(o, owners); err != nil {
 			return err
@@ -235,7 +235,7 @@
 
 // createSnapshot saves and returns the initial snapshot of a new group.
 func (c *createGroup) createSnapshot(o *owner, owners [2]catalog.Owner) (raft.Snapshot, error) {
-	founding := catalog.Founding{Generation: firstGeneration, Owners: owners}
+	founding := catalog.GroupConfig{Generation: firstGeneration, Owners: owners}
 	rand.Read(founding.Cluster[:])
 
 	state, err := catalog.New(founding)
@@ -277,5 +277,5 @@
 	}
 
 	o.logger.Info("joined a controller group", "cluster", j.cluster.String())
-	o.fatalErr = o.start(now, o.log.Stored())
+	o.fatalErr = o.start(now, o.log.TakeStored())
 }
--- a/internal/program/forwarder/forwarder.go
+++ b/internal/program/forwarder/forwarder.go
@@ -54,16 +54,16 @@
 
 // Settings configures an entry instance.
 type Settings struct {
-	Zone       string
-	Data       netip.AddrPort // receives the packets of clients
-	Inner      netip.AddrPort // receives control messages from other processes
-	ClientPort uint16         // UDP port at which clients receive packets
-	Seeds      func() []flow.Endpoint
+	Zone           string
+	Data           netip.AddrPort // receives the packets of clients
+	ControlAddress netip.AddrPort // receives control messages from other processes
+	ClientPort     uint16         // UDP port at which clients receive packets
+	Seeds          func() []flow.Endpoint
 	// Linger is how long the instance forwards after it reports that it is not
 	// ready: the fabric needs several health checks to take it out of rotation.
 	Linger time.Duration
-	// Link is the bandwidth of the instance in bytes per second; 0 if unknown.
-	Link float64
+	// LinkBytesPerSecond is the bandwidth of the instance in bytes per second; 0 if unknown.
+	LinkBytesPerSecond float64
 }
 
 // Forwarder forwards the packets that arrive at one entry instance.
@@ -92,7 +92,7 @@
 		return nil, newError("listen", KindListen, err)
 	}
 
-	control, err := frag.Listen(settings.Inner, logger)
+	control, err := frag.Listen(settings.ControlAddress, logger)
 	if err != nil {
 		return nil, errors.Join(newError("listen", KindListen, err), data.Close())
 	}
@@ -102,11 +102,12 @@
 		settings: settings, codec: codec, logger: logger, data: data, control: control, openTimes: openTimes,
 		wake: make(chan struct{}, 1),
 		router: steering.New(steering.Config{
-			Zone: settings.Zone, Boot: time.Now(), Link: settings.Link, Opened: openTimes.Observe,
+			Zone: settings.Zone, Boot: time.Now(), LinkBytesPerSecond: settings.LinkBytesPerSecond,
+			ObserveOpen: openTimes.Observe,
 		}),
 	}
 	f.follower = follower.New(follower.Config{
-		Conn: control, Boot: rand.Uint64(), Seeds: settings.Seeds, Events: events{f}, Follows: true, Logger: logger,
+		Conn: control, BootID: rand.Uint64(), Seeds: settings.Seeds, Events: events{f}, WantsAgents: true, Logger: logger,
 	})
 
 	return f, nil
@@ -287,7 +288,7 @@
 		err = f.data.Send(f.buffer, client)
 	case steering.Locate:
 		f.buffer = wire.Locate{ID: action.Question.ID, Keys: action.Question.Keys}.Append(f.buffer[:0])
-		agent := netip.AddrPortFrom(action.To.Addr(), f.settings.Inner.Port())
+		agent := netip.AddrPortFrom(action.To.Addr(), f.settings.ControlAddress.Port())
 		err = f.control.Send(agent, f.buffer)
 	}
 
@@ -338,7 +339,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 
-	e.router.Follow(table)
+	e.router.SetTable(table)
 }
 
 func (e events) Agents(now time.Time, records []roster.Record, whole bool) {
--- a/internal/program/inspect/inspect.go
+++ b/internal/program/inspect/inspect.go
@@ -85,24 +85,24 @@
 	Weight  uint32 `json:"weight"`
 }
 
-// Holding is what an agent reports about a flow.
-type Holding struct {
+// FlowAnswer is what an agent reports about a flow.
+type FlowAnswer struct {
 	Agent
 	Answer string `json:"answer"` // "holds the flow", "does not hold it", "does not know" or "no answer"
 }
 
 // Flow is what controllers and agents report about a flow.
 type Flow struct {
-	Flow    string    `json:"flow"`
-	Version uint64    `json:"version"` // of the document in force
-	Route   string    `json:"route"`   // empty if the document has none for the address
-	Targets []Target  `json:"targets"`
-	Agents  []Holding `json:"agents"`
+	Flow    string       `json:"flow"`
+	Version uint64       `json:"version"` // of the document in force
+	Route   string       `json:"route"`   // empty if the document has none for the address
+	Targets []Target     `json:"targets"`
+	Agents  []FlowAnswer `json:"agents"`
 }
 
 // Held reports whether an agent holds the flow.
 func (f *Flow) Held() bool {
-	return slices.ContainsFunc(f.Agents, func(h Holding) bool { return h.Answer == answerText(flow.Held) })
+	return slices.ContainsFunc(f.Agents, func(h FlowAnswer) bool { return h.Answer == answerText(flow.Held) })
 }
 
 // Inspector sends questions and collects the answers.
@@ -207,7 +207,7 @@
 func (i *Inspector) Fleet(ctx context.Context, controllers []flow.Endpoint) *Fleet {
 	i.pollUntil(ctx, func() {
 		for _, controller := range controllers {
-			i.send(controller, wire.KindPoll, wire.Poll{Follows: true})
+			i.send(controller, wire.KindPoll, wire.Poll{WantsAgents: true})
 		}
 	}, func() bool { return len(i.replies) >= len(controllers) })
 
@@ -219,7 +219,7 @@
 	for _, controller := range controllers {
 		reply, answers := i.replies[controller]
 		fleet.Controllers = append(fleet.Controllers, Controller{
-			Address: controller.String(), Answers: answers, Settled: reply.Settled, Version: reply.Version,
+			Address: controller.String(), Answers: answers, Settled: reply.Ready, Version: reply.Version,
 			Agents: len(reply.Agents), Members: len(reply.Controllers),
 		})
 	}
@@ -241,7 +241,7 @@
 	var best wire.PollReply
 
 	for _, reply := range i.replies {
-		if (reply.Settled && !best.Settled) || (reply.Settled == best.Settled && reply.Version > best.Version) {
+		if (reply.Ready && !best.Ready) || (reply.Ready == best.Ready && reply.Version > best.Version) {
 			best = reply
 		}
 	}
@@ -311,7 +311,7 @@
 
 	for _, record := range newest.Agents {
 		answer := i.locateAnswers[flow.Endpoint{IP: record.Address.IP, Port: port}]
-		found.Agents = append(found.Agents, Holding{Agent: newAgent(record), Answer: answerText(answer)})
+		found.Agents = append(found.Agents, FlowAnswer{Agent: newAgent(record), Answer: answerText(answer)})
 	}
 
 	return found
--- a/internal/program/registry/checkpoints_test.go
+++ b/internal/program/registry/checkpoints_test.go
@@ -66,7 +66,7 @@
 	c.bootstrap(1)
 
 	agent := newClient(t, c.address(99).AddrPort())
-	batch := checkpoint.Batch{Agent: c.address(99), Born: 5, Epoch: 6, To: 7, Opened: []checkpoint.Flow{
+	batch := checkpoint.Batch{Agent: c.address(99), BackendStart: 5, Epoch: 6, To: 7, Opened: []checkpoint.Flow{
 		{Key: flow.Key{Client: c.address(1), Service: c.address(2)}, Acknowledged: 8},
 	}}
 
@@ -85,38 +85,38 @@
 	c.kill(1)
 	c.start(1, "1", false)
 
-	recall, err := wire.Encode(wire.KindRecall, wire.Recall{Agent: c.address(99)})
+	recall, err := wire.Encode(wire.KindRestore, wire.Restore{Agent: c.address(99)})
 	c.is.NoErr(err)
 
 	c.eventually("the flows are recalled", func() bool {
-		answer := agent.request(c.address(1), recall, wire.KindRecalled)
+		answer := agent.request(c.address(1), recall, wire.KindRestoreReply)
 		if answer == nil {
 			return false
 		}
 
 		memory, err := checkpoint.Restore(answer)
 		c.is.NoErr(err)
-		c.is.Equal(memory, checkpoint.Memory{Born: 5, Epoch: 6, Flows: batch.Opened})
+		c.is.Equal(memory, checkpoint.RestoredFlows{BackendStart: 5, Epoch: 6, Flows: batch.Opened})
 
 		return true
 	})
 
 	t.Run("another agent", func(*testing.T) {
-		other, err := wire.Encode(wire.KindRecall, wire.Recall{Agent: c.address(98)})
+		other, err := wire.Encode(wire.KindRestore, wire.Restore{Agent: c.address(98)})
 		c.is.NoErr(err)
 
 		c.eventually("there is an answer", func() bool {
-			answer := agent.request(c.address(1), other, wire.KindRecalled)
+			answer := agent.request(c.address(1), other, wire.KindRestoreReply)
 
 			return answer != nil && len(answer) == 0
 		})
 	})
 }
 
-// TestCall guards against instances that wait for their seeds although another
+// TestNotifyAfterRestart guards against instances that wait for their seeds although another
 // controller is running: after a restart a controller notifies the instances that
 // polled it before.
-func TestCall(t *testing.T) {
+func TestNotifyAfterRestart(t *testing.T) {
 	c := newCluster(t)
 	c.bootstrap(1)
 
@@ -139,7 +139,7 @@
 		instance.mutex.Lock()
 		defer instance.mutex.Unlock()
 
-		_, notified := instance.answers[wire.KindNews]
+		_, notified := instance.answers[wire.KindPollNow]
 
 		return notified
 	})
--- a/internal/program/registry/operate.go
+++ b/internal/program/registry/operate.go
@@ -117,7 +117,7 @@
 		return 0, nil, nil
 	}
 
-	document, err := route.Expand(answer.document)
+	document, err := route.Decompress(answer.document)
 	if err != nil {
 		return 0, nil, newError("read", KindStorage, err)
 	}
@@ -198,7 +198,7 @@
 
 		delete(o.reads, read.ID)
 
-		if read.Lost {
+		if read.LeadershipLost {
 			reply <- outcome{err: newError("read", KindUnavailable, errors.New("the leadership was lost"))}
 
 			continue
--- a/internal/program/registry/storage.go
+++ b/internal/program/registry/storage.go
@@ -37,7 +37,7 @@
 	}
 
 	o.log = log
-	stored := log.Stored()
+	stored := log.TakeStored()
 
 	if log.Identity().Cluster == 0 {
 		if !o.isInitialMember() {
@@ -66,7 +66,7 @@
 
 // isInitialMember reports whether the replica is an initial member of the group.
 func (o *owner) isInitialMember() bool {
-	return o.settings.First && slices.Contains(o.settings.Seeds(), o.self)
+	return o.settings.Bootstrap && slices.Contains(o.settings.Seeds(), o.self)
 }
 
 // initialReplicaID derives the identity of an initial member from its address, so
@@ -90,7 +90,7 @@
 		id ^= flow.Mix(uint64(initialReplicaID(seed)))
 	}
 
-	initial := catalog.Founding{Generation: firstGeneration, Preapproved: true}
+	initial := catalog.GroupConfig{Generation: firstGeneration, Preapproved: true}
 	binary.BigEndian.PutUint64(initial.Cluster[:], id|1)
 
 	state, err := catalog.New(initial)
@@ -133,7 +133,7 @@
 		Replica: identity.Replica, Cluster: identity.Cluster, Generation: identity.Generation,
 		Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), Now: now,
 		ElectionTimeout: electionTimeout, HeartbeatInterval: heartbeatInterval,
-		MaxProposalBytes: MaxDocumentBytes, MaxAppendBytes: maxMessageBytes, ChunkBytes: maxMessageBytes,
+		MaxProposalBytes: MaxDocumentBytes, MaxAppendBytes: maxMessageBytes, MaxChunkBytes: maxMessageBytes,
 	}, stored)
 	if err != nil {
 		return err
--- a/internal/program/sidecar/checkpointer_test.go
+++ b/internal/program/sidecar/checkpointer_test.go
@@ -62,13 +62,14 @@
 
 	recalls := 0
 	for _, earlier := range c.kinds {
-		if earlier == wire.KindRecall {
+		if earlier == wire.KindRestore {
 			recalls++
 		}
 	}
 
-	if kind == wire.KindRecall && recalls > 3 {
-		_ = c.conn.Send(from, c.memory.Append([]byte{byte(wire.KindRecalled)})) // the agent asks again if the reply is lost
+	if kind == wire.KindRestore && recalls > 3 {
+		// The agent asks again if the reply is lost.
+		_ = c.conn.Send(from, c.memory.Append([]byte{byte(wire.KindRestoreReply)}))
 	}
 }
 
@@ -93,7 +94,7 @@
 	is.NoErr(err)
 
 	fake := &fakeController{conn: conn, memory: checkpoint.Batch{
-		Agent: endpoint, Born: 1000, Epoch: 1, To: 3, Opened: []checkpoint.Flow{{Key: key, Acknowledged: 9}},
+		Agent: endpoint, BackendStart: 1000, Epoch: 1, To: 3, Opened: []checkpoint.Flow{{Key: key, Acknowledged: 9}},
 	}}
 
 	go conn.Serve(fake.handle)
@@ -106,7 +107,7 @@
 
 	s, err := sidecar.New(sidecar.Settings{
 		Service: "desk", Data: agent, Outbound: netip.AddrPortFrom(agent.Addr(), 22002),
-		Backend: netip.AddrPortFrom(agent.Addr(), 22003), Inner: netip.AddrPortFrom(agent.Addr(), controller.Port()),
+		Backend: netip.AddrPortFrom(agent.Addr(), 22003), ControlAddress: netip.AddrPortFrom(agent.Addr(), controller.Port()),
 		ClientPort: agent.Port(), Seeds: func() []flow.Endpoint { return []flow.Endpoint{seed} },
 		ReportInterval: time.Second,
 	}, fakeCodec{}, logger)
@@ -117,7 +118,7 @@
 
 	go func() { ended <- s.Run(ctx) }()
 
-	_, err = s.Report(gate.Report{ID: "a", Service: "desk", Born: 2000, Sequence: 1, Slots: 2})
+	_, err = s.Report(gate.Report{ID: "a", Service: "desk", StartMillis: 2000, Sequence: 1, Slots: 2})
 	is.NoErr(err)
 
 	select {
@@ -133,7 +134,7 @@
 		}
 	}
 
-	is.True(fake.indexOf(wire.KindRecall) < fake.indexOf(wire.KindCheckpoint))
+	is.True(fake.indexOf(wire.KindRestore) < fake.indexOf(wire.KindCheckpoint))
 
 	stop()
 	is.NoErr(<-ended)
--- a/internal/program/sidecar/sidecar.go
+++ b/internal/program/sidecar/sidecar.go
@@ -63,14 +63,14 @@
 
 // Settings configures an agent.
 type Settings struct {
-	Zone       string
-	Service    string
-	Data       netip.AddrPort // receives packets from entry instances
-	Outbound   netip.AddrPort // receives packets from the backend server
-	Backend    netip.AddrPort // the backend server
-	Inner      netip.AddrPort // receives control messages from other processes
-	ClientPort uint16         // UDP port at which clients receive packets
-	Seeds      func() []flow.Endpoint
+	Zone           string
+	Service        string
+	Data           netip.AddrPort // receives packets from entry instances
+	Outbound       netip.AddrPort // receives packets from the backend server
+	Backend        netip.AddrPort // the backend server
+	ControlAddress netip.AddrPort // receives control messages from other processes
+	ClientPort     uint16         // UDP port at which clients receive packets
+	Seeds          func() []flow.Endpoint
 	// ReportInterval is the time between two reports of the backend server.
 	ReportInterval time.Duration
 }
@@ -109,7 +109,8 @@
 		Service: settings.Service, Boot: time.Now(), ReportInterval: settings.ReportInterval,
 	}, s.replyTimes.Observe)
 	s.follower = follower.New(follower.Config{
-		Conn: s.control, Boot: rand.Uint64(), Seeds: settings.Seeds, Events: events{s}, Announce: s.announce, Logger: logger,
+		Conn: s.control, BootID: rand.Uint64(), Seeds: settings.Seeds, Events: events{s}, Announce: s.announce,
+		Logger: logger,
 	})
 	s.checkpointer = newCheckpointer(s)
 
@@ -150,24 +151,24 @@
 	switch {
 	case err != nil:
 		s.logger.Warn("refused a report", "id", report.ID, "error", err)
-	case outcome == gate.Late:
-		s.logger.Info("ignored a late report", "id", report.ID, "born", report.Born, "sequence", report.Sequence)
+	case outcome == gate.Outdated:
+		s.logger.Info("ignored a late report", "id", report.ID, "born", report.StartMillis, "sequence", report.Sequence)
 	case outcome == gate.Changed:
-		s.logger.Info("the backend server changed", "id", report.ID, "born", report.Born, "sequence", report.Sequence,
-			"leaving", report.Leaving, "slots", report.Slots, "cold_ms", report.Cold.Milliseconds())
+		s.logger.Info("the backend server changed", "id", report.ID, "born", report.StartMillis, "sequence", report.Sequence,
+			"leaving", report.Leaving, "slots", report.Slots, "cold_ms", report.WarmUpRemaining.Milliseconds())
 		s.follower.Poll()
 	}
 
 	return outcome, err
 }
 
-// Leave records that the backend server has ended its work.
-func (s *Sidecar) Leave(id string, born int64) {
+// BackendEnded records that the backend server has ended its work.
+func (s *Sidecar) BackendEnded(id string, startMillis int64) {
 	s.mutex.Lock()
-	outcome := s.gate.Leave(id, born)
+	outcome := s.gate.MarkEnded(id, startMillis)
 	s.mutex.Unlock()
 
-	s.logger.Info("the backend server announced its end", "id", id, "born", born, "late", outcome == gate.Late)
+	s.logger.Info("the backend server announced its end", "id", id, "born", startMillis, "late", outcome == gate.Outdated)
 
 	if outcome == gate.Changed {
 		s.follower.Poll()
@@ -208,7 +209,7 @@
 	s.mutex.Lock()
 	s.stopping = true
 	s.mutex.Unlock()
-	s.follower.Farewell()
+	s.follower.SendFinalPoll()
 
 	closeErr := s.close()
 
@@ -307,7 +308,7 @@
 // startRequests sends the waiting requests that get a slot to the backend server.
 // The caller holds the mutex.
 func (s *Sidecar) startRequests() {
-	for _, started := range s.gate.Start(time.Now()) {
+	for _, started := range s.gate.StartQueued(time.Now()) {
 		if started.Waited >= slowSlotWait {
 			s.logger.Info("a request waited for a slot", "flow", started.Key.String(),
 				"waited_ms", started.Waited.Milliseconds(), "waiting", s.gate.Load(time.Now()).Waiting)
@@ -329,7 +330,7 @@
 func (s *Sidecar) sendToForwarder(forwarder flow.Endpoint, message []byte) error {
 	s.buffer = message
 
-	return s.control.Send(netip.AddrPortFrom(forwarder.Addr(), s.settings.Inner.Port()), message)
+	return s.control.Send(netip.AddrPortFrom(forwarder.Addr(), s.settings.ControlAddress.Port()), message)
 }
 
 // handleMessage handles a control message from another process.
@@ -411,7 +412,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 
-	e.gate.Follow(table)
+	e.gate.SetTable(table)
 }
 
 func (events) Agents(time.Time, []roster.Record, bool) {}
--- a/internal/testing/capacity/documentcost.go
+++ b/internal/testing/capacity/documentcost.go
@@ -129,7 +129,7 @@
 var owners = [2]string{"ann", "bob"}
 
 func newCommandLog() *commandLog {
-	founding := catalog.Founding{}
+	founding := catalog.GroupConfig{}
 	for i, name := range owners {
 		founding.Owners[i] = catalog.Owner{Name: name, Key: signingKey(byte(i + 1)).Public().(ed25519.PublicKey)}
 	}
--- a/internal/testing/capacity/linkcost.go
+++ b/internal/testing/capacity/linkcost.go
@@ -239,7 +239,7 @@
 
 		files := identity.Files{Certificate: certificate, Key: key, Authorities: []string{path("ca.pem")}}
 
-		return identity.Open(files, slog.New(slog.DiscardHandler))
+		return identity.OpenStore(files, slog.New(slog.DiscardHandler))
 	}
 
 	controller, err = open(identity.Identity{
@@ -292,7 +292,7 @@
 			instance.Close()
 		})
 		c.running.Go(func() {
-			if instance.Wait(c.ctx) == nil {
+			if instance.WaitReady(c.ctx) == nil {
 				c.ready.Add(1)
 			}
 		})
--- a/internal/testing/capacity/logcost.go
+++ b/internal/testing/capacity/logcost.go
@@ -151,7 +151,7 @@
 func announceCommand(number, services, boot int) catalog.Command {
 	announce := catalog.Announce{
 		Environment: catalog.Trial, Role: catalog.RoleAgent, Service: makeService(number % services).Name,
-		Zone: zoneName(number), Data: address(1<<20+number, 7000), Peer: address(1<<20+number, 7001),
+		Zone: zoneName(number), DataAddress: address(1<<20+number, 7000), PeerAddress: address(1<<20+number, 7001),
 	}
 	binary.BigEndian.PutUint64(announce.Boot[:], uint64(number+1))
 	binary.BigEndian.PutUint64(announce.Boot[8:], uint64(boot))
@@ -166,7 +166,7 @@
 func (l *commandLog) restartAgent(number int) {
 	agent := l.catalog.View(catalog.Trial).Agents()[0]
 
-	for _, phase := range []catalog.Phase{catalog.PhaseDraining, catalog.PhaseGone} {
+	for _, phase := range []catalog.Phase{catalog.PhaseDraining, catalog.PhaseRemoved} {
 		l.apply(catalog.Command{Leave: &catalog.Leave{
 			Environment: catalog.Trial, Incarnation: agent.Incarnation, Phase: phase,
 		}})
--- a/internal/testing/fleet/traffic_test.go
+++ b/internal/testing/fleet/traffic_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	assertAtMostOnce(t, result)
 	is.New(t).Equal(result.BrokenFlows, int64(0))
-	is.New(t).True(result.Kept())
+	is.New(t).True(result.Passed())
 }
 
 // startLoad starts the callers and waits until each has a feed.
--- a/internal/testing/measure/baseline.go
+++ b/internal/testing/measure/baseline.go
@@ -96,8 +96,8 @@
 	return true
 }
 
-// Wake reports false: the queue needs no timer.
-func (b *boundedQueue) Wake() (time.Time, bool) { return time.Time{}, false }
+// NextWakeup reports false: the queue needs no timer.
+func (b *boundedQueue) NextWakeup() (time.Time, bool) { return time.Time{}, false }
 
 // Waiting returns the number of queued requests.
 func (b *boundedQueue) Waiting() int { return len(b.queue) }
--- a/internal/testing/measure/claims.go
+++ b/internal/testing/measure/claims.go
@@ -55,7 +55,7 @@
 
 	for _, n := range s.nodes {
 		n.history.Observe(s.now, s.position, slices.Clone(s.agents))
-		n.history.AssumeFirst(s.now)
+		n.history.AssumeNoEarlierClaims(s.now)
 		n.history.Confirm(s.now)
 	}
 
--- a/internal/testing/measure/claims_simulation.go
+++ b/internal/testing/measure/claims_simulation.go
@@ -122,7 +122,7 @@
 func (s *claimSimulation) copyHistory(n *claimNode) {
 	for _, other := range s.shuffledNodes() {
 		if other != n && s.connected(n, other) && other.history.Complete(s.now) {
-			n.history.Merge(s.now, other.history.Past(s.now))
+			n.history.Merge(s.now, other.history.Snapshot(s.now))
 
 			return
 		}
--- a/internal/testing/measure/executions.go
+++ b/internal/testing/measure/executions.go
@@ -121,7 +121,7 @@
 
 	for _, n := range r.nodes {
 		n.history.Observe(epoch, r.position, slices.Clone(r.agents))
-		n.history.AssumeFirst(epoch)
+		n.history.AssumeNoEarlierClaims(epoch)
 	}
 
 	r.scheduleArrivals(r.random, epoch, config.Rate, r.arrive)
@@ -200,7 +200,7 @@
 		r.schedule(now.Add(2*maxViewDelay), func(now time.Time) {
 			for _, n := range r.nodes {
 				if n != joined && !n.dead {
-					joined.history.Merge(now, n.history.Past(now))
+					joined.history.Merge(now, n.history.Snapshot(now))
 
 					return
 				}
--- a/internal/testing/measure/flows_traffic.go
+++ b/internal/testing/measure/flows_traffic.go
@@ -41,7 +41,7 @@
 
 	agent := s.byAddress[decision.To]
 	if agent == nil {
-		balancer.core.Refused(s.now, decision.To)
+		balancer.core.RecordRefusal(s.now, decision.To)
 
 		return nil
 	}
