--- a/internal/coordination/gate/backend.go
+++ b/internal/coordination/gate/backend.go
@@ -102,7 +102,8 @@
 		g.health = health{}
 	}
 
-	b.id, b.startMillis, b.sequence, b.slots, b.lastReport = report.ID, report.StartMillis, report.Sequence, report.Slots, now
+	b.id, b.startMillis, b.sequence, b.slots, b.lastReport =
+		report.ID, report.StartMillis, report.Sequence, report.Slots, now
 	b.coldUntil = now.Add(report.WarmUpRemaining)
 	b.state = serving
 
@@ -173,6 +174,8 @@
 
 	switch b.state {
 	case unreported, silent:
+		// roster.Silent is for agents that have not announced themselves recently.
+		// This agent has, and its backend server takes no new flows.
 		record.State = roster.Starting
 	case serving:
 		record.State = roster.Ready
--- a/internal/coordination/gate/gate.go
+++ b/internal/coordination/gate/gate.go
@@ -16,9 +16,10 @@
 //
 // The gate makes the final decision whether a new flow may start: the backend
 // server must be ready, and the current document must allow its service for the
-// address. The view of an entry instance may be older; a wrong guess there costs
-// at most one round trip. Once the backend server has reported that it is
-// leaving, no new flow starts there.
+// address. The view of an entry instance may be older; a decision there based on
+// it costs at most one round trip. Once the backend server has reported that it is
+// leaving, no new flow starts there. In the API, an entry instance that sends
+// packets to this agent is called a forwarder.
 //
 // # Open flows
 //
@@ -102,7 +103,7 @@
 	ReasonClosed      Reason = "the client closed the flow while its request waited for a slot"
 )
 
-// Decision tells what to do with one packet and what to report to the forwarder.
+// Decision tells what to do with one packet and what to report to the entry instance.
 type Decision struct {
 	Kind      Kind
 	Forwarder flow.Endpoint // the entry instance that a Return, Accepted or Found is sent to
@@ -131,7 +132,7 @@
 	config          Config
 	table           *route.Table
 	backend         backend
-	flows           map[flow.Key]*heldFlow
+	flows           map[flow.Key]*trackedFlow
 	openFlows       int // flows that are not closed
 	waitingFlows    int // flows whose client waits for an answer
 	runningRequests int // requests handed over and not answered yet
@@ -147,7 +148,7 @@
 // observe with the time to the first byte of each answer.
 func New(config Config, observe func(wait time.Duration)) *Gate {
 	return &Gate{
-		config: config, flows: make(map[flow.Key]*heldFlow), lastSweep: config.Boot, observeWait: observe,
+		config: config, flows: make(map[flow.Key]*trackedFlow), lastSweep: config.Boot, observeWait: observe,
 		queue: newQueue(),
 	}
 }
@@ -218,7 +219,7 @@
 }
 
 // handleOpen decides about the first packet of a flow.
-func (g *Gate) handleOpen(now time.Time, key flow.Key, h *heldFlow, forwarder flow.Endpoint) Decision {
+func (g *Gate) handleOpen(now time.Time, key flow.Key, h *trackedFlow, forwarder flow.Endpoint) Decision {
 	// A client that opens a flow again after closing it reuses the same address and port.
 	if h != nil && h.abandoned {
 		g.removeFlow(key, h)
@@ -262,15 +263,15 @@
 	return ReasonNone
 }
 
-func (g *Gate) addFlow(now time.Time, key flow.Key, state flowState) *heldFlow {
-	h := &heldFlow{state: state, backendStart: g.backend.startMillis, addedAt: now, lastPacket: now}
+func (g *Gate) addFlow(now time.Time, key flow.Key, state flowState) *trackedFlow {
+	h := &trackedFlow{state: state, backendStart: g.backend.startMillis, addedAt: now, lastPacket: now}
 	g.flows[key] = h
 	g.openFlows++
 
 	return h
 }
 
-func (g *Gate) removeFlow(key flow.Key, h *heldFlow) {
+func (g *Gate) removeFlow(key flow.Key, h *trackedFlow) {
 	delete(g.flows, key)
 
 	if !h.closed() {
@@ -285,7 +286,7 @@
 	}
 }
 
-func (g *Gate) markClosed(h *heldFlow, side int) {
+func (g *Gate) markClosed(h *trackedFlow, side int) {
 	wasClosed := h.closed()
 	h.closedBy[side] = true
 
--- a/internal/coordination/gate/held.go
+++ b/internal/coordination/gate/held.go
@@ -14,10 +14,10 @@
 	open                            // the backend server has sent a packet of the flow
 )
 
-// heldFlow is a flow that the gate tracks for the backend server.
-type heldFlow struct {
+// trackedFlow is a flow that the gate tracks for the backend server.
+type trackedFlow struct {
 	state        flowState
-	confirmed    bool // the client uses the flow, so it is not an unused duplicate at a second backend server
+	confirmed    bool // not an unused duplicate at a second backend server, which sends only its accept
 	backendStart int64
 	forwarder    flow.Endpoint
 	addedAt      time.Time
@@ -35,8 +35,8 @@
 
 // hasNewData reports whether a packet has data that the client has not sent before.
 // A retransmission is not a new request.
-func (h *heldFlow) hasNewData(header flow.Header) bool {
+func (h *trackedFlow) hasNewData(header flow.Header) bool {
 	return header.Length > 0 && (!h.sawData || int32(header.End()-h.nextSequence) > 0)
 }
 
-func (h *heldFlow) closed() bool { return h.closedBy[0] && h.closedBy[1] }
+func (h *trackedFlow) closed() bool { return h.closedBy[0] && h.closedBy[1] }
--- a/internal/coordination/gate/queue.go
+++ b/internal/coordination/gate/queue.go
@@ -18,7 +18,7 @@
 	serviceTimeWeight = 0.1
 
 	// serviceTimeMargin is multiplied with the average service time to decide
-	// whether a request can still meet its aim. Service times vary by about half.
+	// whether a request can still meet the target latency of its route. Service times vary by about half.
 	serviceTimeMargin = 1.5
 
 	// fairnessInterval makes every fourth request that starts come from another
@@ -43,7 +43,7 @@
 }
 
 // rank classifies a request by whether it can still be served in time: 0 if it can
-// meet the aim of its route, 2 if its client has probably given up, 1 otherwise.
+// meet the target latency of its route, 2 if its client has probably given up, 1 otherwise.
 func (r *request) rank(now time.Time, serviceTime time.Duration) int {
 	switch waited := now.Sub(r.arrived); {
 	case waited+serviceTime <= r.route.TargetLatency:
@@ -60,22 +60,22 @@
 // The order is designed for bursts, in particular after a fault, when all clients
 // send their delayed requests at once. Such a backlog takes seconds to serve. In
 // order of arrival each request would wait for the whole backlog, and all of them
-// would be late. So requests that can still meet the aim of their route go first,
-// and late requests get the remaining slots. As long as any request is late, the
-// newest go first (adaptive LIFO: Maurer, "Fail at Scale", 2015), because those
-// that have waited longest would only just miss their aim. The request of a client
-// that closes its flow while waiting is dropped, like abort-on-close in other load
-// balancers.
+// would be late. So requests that can still meet the target latency of their route
+// go first, and late requests get the remaining slots. As long as any request is
+// late, the newest go first (adaptive LIFO: Maurer, "Fail at Scale", 2015), because
+// those that have waited longest would only just miss their target. The request of
+// a client that closes its flow while waiting is dropped, like abort-on-close in
+// other load balancers.
 type queue struct {
-	waiting      []*request
-	serviceTimes map[flow.Endpoint]time.Duration // average from handover to answer, by service address
-	overloaded   bool                            // a waiting request can no longer meet its aim
-	turns        int
+	waiting          []*request
+	serviceTimes     map[flow.Endpoint]time.Duration // average from handover to answer, by service address
+	overloaded       bool                            // a waiting request can no longer meet its target latency
+	startsSinceOther int                             // requests started since one of another priority was last looked for
 }
 
 func newQueue() queue { return queue{serviceTimes: make(map[flow.Endpoint]time.Duration)} }
 
-// observeServiceTime adds the service time of a request to the average of its route.
+// observeServiceTime adds the service time of a request to the average of its service address.
 func (q *queue) observeServiceTime(service flow.Endpoint, serviceTime time.Duration) {
 	average, ok := q.serviceTimes[service]
 	if !ok {
@@ -110,8 +110,8 @@
 		return nil
 	}
 
-	if q.turns++; q.turns >= fairnessInterval {
-		q.turns = 0
+	if q.startsSinceOther++; q.startsSinceOther >= fairnessInterval {
+		q.startsSinceOther = 0
 
 		// Without this a flood of urgent requests would starve all others.
 		other := q.best(now, func(r *request) bool { return r.route.Priority != best.route.Priority })
--- a/internal/coordination/gate/requests.go
+++ b/internal/coordination/gate/requests.go
@@ -13,7 +13,7 @@
 
 // handleClientPacket updates the flow of a packet from the client and returns what
 // to do with the packet.
-func (g *Gate) handleClientPacket(now time.Time, key flow.Key, h *heldFlow, header flow.Header, packet []byte) Kind {
+func (g *Gate) handleClientPacket(now time.Time, key flow.Key, h *trackedFlow, header flow.Header, packet []byte) Kind {
 	kind := Deliver
 
 	switch {
@@ -53,7 +53,7 @@
 }
 
 // recordAnswer records the first packet of an answer.
-func (g *Gate) recordAnswer(now time.Time, key flow.Key, h *heldFlow) {
+func (g *Gate) recordAnswer(now time.Time, key flow.Key, h *trackedFlow) {
 	g.observeWait(now.Sub(h.waitingSince))
 
 	if !h.handedOverAt.IsZero() {
@@ -101,14 +101,14 @@
 }
 
 // startRequest records that the request of a flow is handed to the backend server.
-func (g *Gate) startRequest(now time.Time, h *heldFlow) {
+func (g *Gate) startRequest(now time.Time, h *trackedFlow) {
 	h.handedOverAt = now
 	g.runningRequests++
 }
 
 // finishRequest records that the request of a flow no longer runs. It does nothing if
 // none does.
-func (g *Gate) finishRequest(h *heldFlow) {
+func (g *Gate) finishRequest(h *trackedFlow) {
 	if !h.handedOverAt.IsZero() {
 		h.handedOverAt = time.Time{}
 		g.runningRequests--
@@ -117,7 +117,7 @@
 
 // admitRequest decides about the first packet of a request: the request is handed
 // over, or waits for a slot.
-func (g *Gate) admitRequest(now time.Time, key flow.Key, h *heldFlow, sequence uint32, packet []byte) Kind {
+func (g *Gate) admitRequest(now time.Time, key flow.Key, h *trackedFlow, sequence uint32, packet []byte) Kind {
 	target, ok := g.table.Find(key.Service)
 	if !ok || h.state != open || g.hasFreeSlot() {
 		g.startRequest(now, h)
@@ -157,7 +157,7 @@
 // abandonRequest drops the waiting request of a flow that its client has closed.
 // Retransmissions of it are dropped too, so that it does not run after the client
 // has given up on it.
-func (g *Gate) abandonRequest(h *heldFlow) {
+func (g *Gate) abandonRequest(h *trackedFlow) {
 	g.dropRequest(h)
 
 	h.abandoned = true
@@ -165,7 +165,7 @@
 }
 
 // dropRequest removes the waiting request of a flow, if any, from the queue.
-func (g *Gate) dropRequest(h *heldFlow) {
+func (g *Gate) dropRequest(h *trackedFlow) {
 	if h.request == nil {
 		return
 	}
