--- a/internal/coordination/steering/entry.go
+++ b/internal/coordination/steering/entry.go
@@ -24,7 +24,7 @@
 	agent      flow.Endpoint
 	lastPacket time.Time
 	// denied are the agents that do not hold the flow according to their answers.
-	// A flow never moves to an agent later, so they are not asked again.
+	// An agent never acquires a flow that was opened elsewhere, so they are not asked again.
 	denied        []flow.Endpoint
 	resultExpires time.Time // when the result of an unsuccessful search expires
 
--- a/internal/coordination/steering/open.go
+++ b/internal/coordination/steering/open.go
@@ -44,8 +44,8 @@
 	if chosen == nil {
 		r.removeFlow(key)
 
-		// A newer view may have a candidate; the client retransmits the packet.
-		if !r.viewIsFresh(now) {
+		// A newer list of agents may have a candidate; the client retransmits the packet.
+		if !r.recentlyConfirmed(now) {
 			r.counters.Dropped++
 
 			return
@@ -83,9 +83,9 @@
 }
 
 // chooseAgent returns the best agent for a new flow that was not tried yet, or
-// nil. The other services of the route are the last resort, and only if the view is
-// current: after a loss of all instances, the first service that came back got the
-// flows of the other services and kept them.
+// nil. The other services of the route are the last resort, and only if document
+// and agents are current: after a loss of all instances, the first service that
+// came back got the flows of the other services and kept them.
 func (r *Router) chooseAgent(now time.Time, target *route.Route, key flow.Key, tried []flow.Endpoint) *agent {
 	hash := key.Hash()
 	picked := target.Pick(hash)
@@ -94,7 +94,7 @@
 		return chosen
 	}
 
-	if !r.viewIsFresh(now) {
+	if !r.recentlyConfirmed(now) {
 		return nil
 	}
 
--- a/internal/coordination/steering/question.go
+++ b/internal/coordination/steering/question.go
@@ -11,7 +11,7 @@
 	// for further flows. It delays the client in almost every search.
 	likelyBatchDelay = 3 * time.Millisecond
 
-	// otherBatchDelay is the same for all other agents. It is longer because they
+	// otherBatchDelay is the corresponding delay for all other agents. It is longer because they
 	// only confirm that a flow is lost. After the loss of many instances a question
 	// then holds dozens of flows.
 	otherBatchDelay = 150 * time.Millisecond
--- a/internal/coordination/steering/search.go
+++ b/internal/coordination/steering/search.go
@@ -33,9 +33,8 @@
 	r.askNext(now, target, key, e)
 }
 
-// askNext asks the next agents for a flow: first those that new flows of the key
-// are placed at, then all others, because the flow may be older than the current
-// route.
+// askNext asks the next agents for a flow: first the candidates for a new flow with
+// this key, then all others, because the flow may be older than the current route.
 func (r *Router) askNext(now time.Time, target *route.Route, key flow.Key, e *entry) {
 	agents := r.likelyAgents(target, key, e.tried)
 	likely := !e.askedLikely && len(agents) > 0
@@ -184,7 +183,7 @@
 // endSearch ends a search without success. The flow is reset at its client only if
 // it is certainly lost.
 func (r *Router) endSearch(now time.Time, key flow.Key, e *entry) {
-	sequence, certain := e.acknowledged, !e.incomplete && r.viewIsFresh(now) && len(r.agents) > 0
+	sequence, certain := e.acknowledged, !e.incomplete && r.recentlyConfirmed(now) && len(r.agents) > 0
 
 	delete(r.pendingFlows, key)
 
--- a/internal/coordination/steering/steering.go
+++ b/internal/coordination/steering/steering.go
@@ -62,7 +62,7 @@
 	// hold a flow. They answer without asking their backend servers.
 	likelyTimeout = 60 * time.Millisecond
 
-	// otherTimeout is the same for all other agents. It exceeds the queueing delay
+	// otherTimeout is the corresponding timeout for all other agents. It exceeds the queueing delay
 	// of a full link, so that no agent is asked twice.
 	otherTimeout = 400 * time.Millisecond
 
@@ -74,8 +74,9 @@
 	// only if no other agent can take them.
 	suspectDuration = time.Second
 
-	// freshnessWindow is the age up to which the view of document and agents counts as
-	// current, so that what is not in it does not exist: three polls of a controller.
+	// freshnessWindow is how long after a confirmation the document and the list of
+	// agents count as current, so that what is not in them does not exist: three polls
+	// of a controller.
 	freshnessWindow = 1500 * time.Millisecond
 
 	// idleFlowTTL is how long an idle flow is kept. It exceeds the idle timeouts and
@@ -176,6 +177,14 @@
 }
 
 // Counters count what a Router has decided.
+//
+//   - Opened: new flows for which an agent was sought.
+//   - Moved: further offers of a flow after an agent refused it or did not answer.
+//   - Resets: flows reset at their client.
+//   - Located: searches started.
+//   - Lost: searches that found no agent, conclusive or not.
+//   - Dropped: packets dropped, and new flows refused because too many wait.
+//   - Stray: resets from clients for unknown flows.
 type Counters struct {
 	Opened, Moved, Resets, Located, Lost, Dropped, Stray uint64
 }
@@ -183,7 +192,7 @@
 // agent is the state of one agent as known to a router.
 type agent struct {
 	roster.Record
-	seed             uint64
+	seed             uint64    // hash of its IP address, for rendezvous hashing
 	flowsSinceReport int       // new flows sent to it since its last report
 	suspectUntil     time.Time // until when it gets no new flows if others can take them
 	missingSince     time.Time // when it was first absent from the list; zero if it is in the list
@@ -328,9 +337,11 @@
 	return false
 }
 
-// viewIsFresh reports whether a controller confirmed the view recently, so that
-// a route or agent that is not in it does not exist.
-func (r *Router) viewIsFresh(now time.Time) bool { return now.Sub(r.lastConfirmed) <= freshnessWindow }
+// recentlyConfirmed reports whether a controller confirmed document and agents
+// recently, so that a route or agent that is not in them does not exist.
+func (r *Router) recentlyConfirmed(now time.Time) bool {
+	return now.Sub(r.lastConfirmed) <= freshnessWindow
+}
 
 func (r *Router) addAction(action Action) { r.actions = append(r.actions, action) }
 
@@ -372,10 +383,10 @@
 }
 
 // refuseUnrouted resets the flow of a packet to an address without a route. If the
-// view is too old the packet is dropped instead: the route may exist.
+// document is too old the packet is dropped instead: the route may exist.
 func (r *Router) refuseUnrouted(now time.Time, header flow.Header) {
 	key := header.Key()
-	if !r.viewIsFresh(now) || r.table == nil || header.Reset {
+	if !r.recentlyConfirmed(now) || r.table == nil || header.Reset {
 		r.counters.Dropped++
 
 		return
