--- a/internal/coordination/forward/balancer.go
+++ b/internal/coordination/forward/balancer.go
@@ -70,7 +70,7 @@
 	return &Balancer{self: self, seed: [2]uint64{random.Uint64(), random.Uint64()}, skips: newSkips()}
 }
 
-// Apply puts a view in force. Limits that did not change keep their state.
+// Apply puts a view in force. Limiters whose limits did not change keep their state.
 func (b *Balancer) Apply(next *view.View) error {
 	old := b.current.Load()
 	updated := &snapshot{view: next}
@@ -110,8 +110,9 @@
 	return nil
 }
 
-// setKeys derives the keys of the next view, or shares those of the old
-// snapshot if the fabric keys are the same.
+// setKeys derives the keys of the next view from its fabric keys, which all balancers
+// and agents of the environment share. It reuses those of the old snapshot if the
+// fabric keys are the same.
 func (s *snapshot) setKeys(old *snapshot, next *view.View) error {
 	if old != nil && slices.Equal(old.view.Keys(), next.Keys()) {
 		s.connections, s.datagrams = old.connections, old.datagrams
@@ -163,7 +164,7 @@
 }
 
 // Refused records that a destination refused a datagram: first packets skip its
-// agents until the view changes, for at most 3 s.
+// agents until the view changes, for at most skipDuration.
 func (b *Balancer) Refused(now time.Time, destination netip.AddrPort) {
 	current := b.current.Load()
 	if current == nil {
@@ -334,7 +335,7 @@
 
 // reply delivers the payload of a reply to its caller. It also accepts replies to
 // an earlier balancer at this address and from agents that are not in the view
-// yet: the tag proves that the sender belongs to the fabric, and any balancer can
+// yet: the tag proves that the sender has the fabric keys, and any balancer can
 // deliver for any agent.
 func (w *Worker) reply(current *snapshot, received []byte) Decision {
 	header := &w.header
--- a/internal/coordination/forward/decision.go
+++ b/internal/coordination/forward/decision.go
@@ -42,7 +42,7 @@
 	Delivered                    // delivered to the caller, or to QUIC
 	Answered                     // answered with a pong
 	Noted                        // a stale notice or a pong
-	NoView                       // dropped, as are all below: no view is in force
+	NoView                       // no view is in force; dropped, as are all below except WrongAgent
 	NoService                    // the service is not in the view
 	NoAgent                      // no agent of the service gets new flows
 	AgentGone                    // the connection ID names an agent that is not in the view
--- a/internal/coordination/forward/paths.go
+++ b/internal/coordination/forward/paths.go
@@ -106,8 +106,8 @@
 
 // next returns the path of a reply: of the next two paths in rotation, the one
 // with the more recent datagram, and not the path of the last reply to the caller
-// unless there is no other. A silent balancer is thus no longer chosen long before
-// its timeout.
+// unless there is no other. A balancer that stops sending is thus avoided well
+// before activeTimeout.
 func (p *paths) next(now time.Time, caller uint64) (path, bool) {
 	lastBalancer := &p.lastBalancers[caller%callerSlots]
 
