--- a/internal/coordination/claim/claimant.go
+++ b/internal/coordination/claim/claimant.go
@@ -21,7 +21,7 @@
 	// resendInterval is the time between two copies of a request. A holder gets
 	// up to ten copies within ClaimTimeout.
 	resendInterval = 100 * time.Millisecond
-	// idleWakeDelay is so long that a Wake this far ahead means that no call is due.
+	// idleWakeDelay is how long after the start Wake returns a time when no call is due.
 	idleWakeDelay = time.Hour
 )
 
--- a/internal/coordination/claim/history.go
+++ b/internal/coordination/claim/history.go
@@ -136,11 +136,11 @@
 }
 
 // AssumeNoEarlierClaims declares that no earlier claim exists. It may be called only for
-// the first agents of a new service, after all members in force have promised
-// not to claim under older memberships. Older memberships whose members are all
-// in the newest one are dropped: while a service starts, its first agent is the
-// only member for a short time, and if it failed, every key would be blocked for
-// the whole window.
+// the first agents of a new service, after all members in force have recorded the
+// position of the newest view, so that none of them starts to claim under older
+// memberships. Older memberships whose members are all in the newest one are
+// dropped: while a service starts, its first agent is the only member for a short
+// time, and if it failed, every key would be blocked for the whole window.
 func (h *History) AssumeNoEarlierClaims(now time.Time) {
 	h.completeSince = now.Add(-h.window)
 
@@ -336,7 +336,9 @@
 
 // insert adds a membership at its position, unless that position is known already.
 func (h *History) insert(now time.Time, record MembershipRecord) {
-	index, found := slices.BinarySearchFunc(h.memberships, record.Position, func(m membership, position view.Position) int {
+	index, found := slices.BinarySearchFunc(h.memberships, record.Position, func(
+		m membership, position view.Position,
+	) int {
 		switch {
 		case m.position.Less(position):
 			return -1
--- a/internal/coordination/claim/message.go
+++ b/internal/coordination/claim/message.go
@@ -26,7 +26,8 @@
 	maxBulkBytes = MaxCapacity * maxMessageBytes
 )
 
-// Key identifies a request across resends.
+// Key identifies a request across resends by its idempotency key (Token) within a
+// service.
 type Key struct {
 	Service view.ServiceID `cbor:"1,keyasint"`
 	Token   string         `cbor:"2,keyasint"` // the Idempotency-Key header
@@ -212,12 +213,14 @@
 }
 
 // Check returns an error for the first invalid membership. Members must be in
-// ascending order of incarnation, because of equal scores the first one wins.
+// ascending order of incarnation, because among equal scores the first one wins.
 func (p *HistorySnapshot) Check() error {
 	for _, record := range p.Memberships {
-		sorted := slices.IsSortedFunc(record.Members, func(a, b Member) int { return cmp.Compare(a.Incarnation, b.Incarnation) })
+		sorted := slices.IsSortedFunc(record.Members, func(a, b Member) int {
+			return cmp.Compare(a.Incarnation, b.Incarnation)
+		})
 		if record.Age < 0 || p.CoveredDuration < 0 || len(record.Members) == 0 || !sorted {
-			return newError("check past", KindLimit, errors.Errorf("era at %s is not valid", record.Position))
+			return newError("check history", KindLimit, errors.Errorf("membership at %s is not valid", record.Position))
 		}
 	}
 
--- a/internal/coordination/claim/store.go
+++ b/internal/coordination/claim/store.go
@@ -15,9 +15,9 @@
 // the time for which copies of the claim's Grant can arrive after its Release.
 const tombstoneTTL = 10 * time.Second
 
-// DefaultCapacity is the default number of records of a store. It is enough for 27
-// claims a second at each holder with a retention of 10 minutes, in at most
-// 70 MB.
+// DefaultCapacity is the number of records of a store in the claim benchmarks. It is
+// enough for 27 claims a second at each holder with a retention of 10 minutes, in at
+// most 70 MB.
 const DefaultCapacity = 1 << 14
 
 // record is the state of a key at a seat.
