--- a/internal/coordination/raft/raft.go
+++ b/internal/coordination/raft/raft.go
@@ -83,7 +83,7 @@
 	Now        time.Time  // start time
 
 	ElectionTimeout     time.Duration // 500 ms; the actual timeout is random, 1 to 2 times this
-	HeartbeatInterval   time.Duration // 100 ms; five per election timeout, so one may be lost
+	HeartbeatInterval   time.Duration // 100 ms; five per election timeout, so that a lost one starts no election
 	MaxProposalBytes    int           // 2 MiB; fits a document of 1 MiB and its signatures
 	MaxAppendBytes      int           // 512 KiB of entries in one message; a single larger entry is still sent
 	MaxAppendEntries    int           // 512
--- a/internal/coordination/raft/rules_test.go
+++ b/internal/coordination/raft/rules_test.go
@@ -27,7 +27,8 @@
 
 	s.node, err = raft.New(raft.Config{
 		Replica: 1, Cluster: cluster, Generation: generation, Random: rand.New(rand.NewPCG(1, 1)), Now: s.now,
-		ElectionTimeout: electionTimeout, HeartbeatInterval: electionTimeout / 5, MaxUncommittedBytes: 1000, MaxLogEntries: 20,
+		ElectionTimeout: electionTimeout, HeartbeatInterval: electionTimeout / 5,
+		MaxUncommittedBytes: 1000, MaxLogEntries: 20,
 	}, stored)
 	s.NoErr(err)
 
