--- a/internal/coordination/rollout/cursor.go
+++ b/internal/coordination/rollout/cursor.go
@@ -59,7 +59,7 @@
 	return snapshot.fullUpdates()
 }
 
-// advance moves the cursor behind the deltas and returns their encoded updates.
+// advance moves the cursor past the deltas and returns their encoded updates.
 func (c *Cursor) advance(deltas []encodedDelta) [][]byte {
 	var updates [][]byte
 
--- a/internal/coordination/rollout/follower.go
+++ b/internal/coordination/rollout/follower.go
@@ -43,7 +43,7 @@
 // ConfirmedAt returns when a leader last confirmed the view held.
 func (f *Follower) ConfirmedAt() time.Time { return f.confirmedAt }
 
-// Confirmed reports whether a leader has confirmed the view recently enough.
+// Confirmed reports whether a leader has confirmed the view within ConfirmationLimit.
 func (f *Follower) Confirmed(now time.Time) bool {
 	return !f.confirmedAt.IsZero() && now.Sub(f.confirmedAt) <= ConfirmationLimit
 }
@@ -135,22 +135,22 @@
 		f.assembly = assembly{position: update.Position, digest: update.Digest, chunkCount: update.Chunks}
 	}
 
-	part := &f.assembly
-	if part.position != update.Position || part.digest != update.Digest ||
-		part.chunkCount != update.Chunks || part.nextChunk != update.Chunk {
+	partial := &f.assembly
+	if partial.position != update.Position || partial.digest != update.Digest ||
+		partial.chunkCount != update.Chunks || partial.nextChunk != update.Chunk {
 		return false, newError("assemble view", KindGap,
 			errors.Errorf("got chunk %d at %s, expected chunk %d at %s",
-				update.Chunk, update.Position, part.nextChunk, part.position))
+				update.Chunk, update.Position, partial.nextChunk, partial.position))
 	}
 
-	part.nextChunk++
-	part.buffer = append(part.buffer, update.Bytes...)
+	partial.nextChunk++
+	partial.buffer = append(partial.buffer, update.Bytes...)
 
-	if part.nextChunk < part.chunkCount {
+	if partial.nextChunk < partial.chunkCount {
 		return false, nil
 	}
 
-	next, err := view.Decode(part.buffer)
+	next, err := view.Decode(partial.buffer)
 	f.assembly = assembly{}
 
 	if err != nil {
--- a/internal/coordination/rollout/snapshot.go
+++ b/internal/coordination/rollout/snapshot.go
@@ -34,7 +34,7 @@
 // ConfirmedAt returns the time of the last confirmation by a leader.
 func (s *Snapshot) ConfirmedAt() time.Time { return s.confirmedAt }
 
-// Confirmed reports whether a leader has confirmed the view recently enough.
+// Confirmed reports whether a leader has confirmed the view within ConfirmationLimit.
 func (s *Snapshot) Confirmed(now time.Time) bool {
 	return !s.confirmedAt.IsZero() && now.Sub(s.confirmedAt) <= ConfirmationLimit
 }
