--- a/internal/coordination/placement/placement.go
+++ b/internal/coordination/placement/placement.go
@@ -1,5 +1,6 @@
 // Package placement selects the agent of a service whose backend server runs a
-// request that has not started: the local agent or a sibling.
+// request that has not started. Siblings are all agents of the service, including
+// the local one.
 //
 // # Usage
 //
@@ -17,8 +18,8 @@
 // Each agent spreads its own requests over all active siblings by stride
 // scheduling (Waldspurger and Weihl, 1995), whatever its connections are. If
 // every agent spreads evenly, the sum is even, however uneven the connections
-// are, and no report from a backend server is needed. The agent corrects the round
-// robin by what it observes of its own requests:
+// are, and no report from a backend server is needed. The agent corrects the
+// schedule by what it observes of its own requests:
 //
 //   - Own requests in flight count against a sibling, so that a slower one gets
 //     fewer requests and a hung one only a few.
@@ -49,12 +50,12 @@
 )
 
 const (
-	// maxLag bounds, in requests, how far a sibling can fall behind or run ahead
+	// maxPassDeviation bounds, in requests, how far a sibling can fall behind or run ahead
 	// of its share. With 1, siblings of equal speed stay within 1.022 of the
 	// mean, and slower ones can get fewer requests; with 4, a sibling of half
 	// the speed still got so many requests that the 99th percentile rose from
 	// 0.55 s to 1.4 s.
-	maxLag = 1
+	maxPassDeviation = 1
 	// inFlightCost is the number of received requests that one own request in
 	// flight counts as. With 0.3 in place of 1, the 99th percentile at 90%
 	// utilization rose from 0.39 s to 0.47 s.
@@ -71,7 +72,7 @@
 }
 
 // New returns a picker without siblings. The seed sets the sibling at which its
-// round robin starts, so that agents do not all start at the same one.
+// schedule starts, so that agents do not all start at the same one.
 func New(policy Policy, seed uint64) *Picker {
 	return &Picker{
 		policy:        policy,
@@ -179,7 +180,7 @@
 		share := s.share(now, p.policy.RampUp)
 		total += share
 
-		s.pass = min(max(s.pass, p.meanPass-maxLag/share), p.meanPass+maxLag/share)
+		s.pass = min(max(s.pass, p.meanPass-maxPassDeviation/share), p.meanPass+maxPassDeviation/share)
 
 		if score := s.pass + inFlightCost*float64(s.inFlight)/share; picked == nil || score < best {
 			picked, best = s, score
--- a/internal/coordination/placement/sibling.go
+++ b/internal/coordination/placement/sibling.go
@@ -13,7 +13,7 @@
 // sibling is the state that a picker keeps for one agent of the service.
 type sibling struct {
 	incarnation view.Incarnation
-	weight      float64 // from the view; 0 if the sibling must not get new work
+	weight      float64 // from the view; 0 if the sibling must not get requests
 	pass        float64 // requests received per share, as in stride scheduling
 	inFlight    int     // own requests only
 
