--- a/internal/coordination/admission/admission.go
+++ b/internal/coordination/admission/admission.go
@@ -28,6 +28,9 @@
 //
 // Queues are bounded per class, so one class cannot fill the queue of another.
 //
+// A feed is a long-lived response stream. It takes no slot but counts as a
+// connection.
+//
 // A Scheduler is not safe for concurrent use: one goroutine owns it.
 package admission
 
--- a/internal/coordination/admission/choose.go
+++ b/internal/coordination/admission/choose.go
@@ -65,7 +65,7 @@
 }
 
 // expectedWait estimates how long a request at the end of the class's queue waits.
-// It starts by urgency or by minimum share, whichever is sooner.
+// The request starts by urgency or by minimum share, whichever is sooner.
 func (s *Scheduler) expectedWait(c *class) time.Duration {
 	return min(s.waitByUrgency(c), s.waitByShare(c))
 }
--- a/internal/coordination/admission/class.go
+++ b/internal/coordination/admission/class.go
@@ -21,7 +21,7 @@
 // the class send a burst that is within its share on average.
 const maxIdleCredit = 2 * time.Second
 
-// entry is a request that waits or runs.
+// entry is a request, of a feed or another class, that waits or runs.
 type entry struct {
 	id       uint64
 	class    *class
