--- a/internal/coordination/forward/balancer.go
+++ b/internal/coordination/forward/balancer.go
@@ -164,7 +164,7 @@
 }
 
 // Refused records that a destination refused a datagram: first packets skip its
-// agents until the view changes, for at most skipDuration.
+// agents until the view changes, for at most skipDuration (3 s).
 func (b *Balancer) Refused(now time.Time, destination netip.AddrPort) {
 	current := b.current.Load()
 	if current == nil {
