--- a/internal/coordination/gate/backend.go
+++ b/internal/coordination/gate/backend.go
@@ -174,6 +174,8 @@
 
 	switch b.state {
 	case unreported, silent:
+		// roster.Silent is for agents that have not announced themselves recently.
+		// This agent has, and its backend server takes no new flows.
 		record.State = roster.Starting
 	case serving:
 		record.State = roster.Ready
