--- a/internal/state/catalog/announce.go
+++ b/internal/state/catalog/announce.go
@@ -19,8 +19,8 @@
 		m.Data == command.Data && m.Peer == command.Peer
 }
 
-// announce adds a member. A repeated announcement returns the incarnation of the
-// first one. A new announcement for a data address in use replaces the member
+// announce adds a member. A resend returns the incarnation of the first
+// announcement. A new announcement for a data address in use replaces the member
 // that has the address.
 func (e *environment) announce(at entry, command Announce) (Result, bool) {
 	if err := command.check(); err != nil {
@@ -44,13 +44,13 @@
 		return refuse(KindSuperseded, "boot ID %x left or was replaced", command.Boot), false
 	}
 
-	replaced, replaces := e.byAddress[command.Data]
-	if holder := e.members[replaced]; replaces && holder.conflictsWith(command.Role, service) {
+	previous, hasPrevious := e.byAddress[command.Data]
+	if previousMember := e.members[previous]; hasPrevious && previousMember.conflictsWith(command.Role, service) {
 		return refuse(KindInUse, "address %s belongs to active incarnation %d of another service or role",
-			command.Data, replaced), false
+			command.Data, previous), false
 	}
 
-	if refusal := e.checkCapacity(command.Role, replaced); refusal != nil {
+	if refusal := e.checkCapacity(command.Role, previous); refusal != nil {
 		return *refusal, false
 	}
 
@@ -63,22 +63,22 @@
 		added.Weight, added.Flapping = flapWeight, true
 	}
 
-	if replaces {
-		e.retire(replaced)
+	if hasPrevious {
+		e.retire(previous)
 	}
 
 	e.nextIncarnation++
 	e.put(added)
 
 	result := added.result()
-	if replaces {
-		result.Removed = []view.Incarnation{replaced}
+	if hasPrevious {
+		result.Removed = []view.Incarnation{previous}
 	}
 
 	return result, true
 }
 
-// resume answers a repeated announcement. A member whose lease had expired keeps
+// resume answers a resent announcement. A member whose lease had expired keeps
 // its incarnation, so that its flows stay reachable.
 func (e *environment) resume(existing member) (Result, bool) {
 	if existing.Expired == 0 {
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -148,7 +148,7 @@
 	return result
 }
 
-// dispatch returns the result and whether the state changed.
+// dispatch applies a command and reports whether it changed the state.
 func (c *Catalog) dispatch(at entry, command Command) (Result, bool) {
 	if result, changed, handled := c.dispatchDocument(at, command); handled {
 		return result, changed
--- a/internal/state/catalog/chunk.go
+++ b/internal/state/catalog/chunk.go
@@ -20,11 +20,11 @@
 
 type chunk struct{ data string }
 
-// text is the content of a document, as chunks that it can share with others.
-type text []*chunk
+// chunkedText is the content of a document, as chunks that it can share with others.
+type chunkedText []*chunk
 
 // splitChunks returns data as chunks. It reuses the chunks of earlier texts.
-func splitChunks(data []byte, earlier ...text) text {
+func splitChunks(data []byte, earlier ...chunkedText) chunkedText {
 	reusable := make(map[string]*chunk)
 
 	for _, t := range earlier {
@@ -33,7 +33,7 @@
 		}
 	}
 
-	var chunks text
+	var chunks chunkedText
 
 	for len(data) > 0 {
 		size := chunkSize(data)
@@ -70,7 +70,7 @@
 	return min(size, maxChunkBytes)
 }
 
-func (t text) bytes() []byte {
+func (t chunkedText) bytes() []byte {
 	var joined strings.Builder
 	for _, c := range t {
 		joined.WriteString(c.data)
--- a/internal/state/catalog/command.go
+++ b/internal/state/catalog/command.go
@@ -131,8 +131,9 @@
 	Phase       Phase            `cbor:"3,keyasint"`
 }
 
-// Expire suspends members whose leases have expired. They keep their incarnation if
-// they announce again with the same boot ID.
+// Expire suspends the listed members, whose leases have expired, and removes all
+// members that have been suspended for suspensionTTL. A suspended member keeps its
+// incarnation if it announces again with the same boot ID.
 type Expire struct {
 	Environment  string             `cbor:"1,keyasint"`
 	Incarnations []view.Incarnation `cbor:"2,keyasint"`
--- a/internal/state/catalog/decide.go
+++ b/internal/state/catalog/decide.go
@@ -10,6 +10,7 @@
 	"jayspindle/internal/state/invariant"
 )
 
+// splitLines returns the lines of a replacement of an owner without their line ends.
 func splitLines(data []byte) []string {
 	return strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
 }
@@ -58,7 +59,7 @@
 	})
 
 	if decision == document.Reject {
-		return ledger.changeResult(ledger.conclude(Rejected, at.now)), true
+		return ledger.changeResult(ledger.recordDecision(Rejected, at.now)), true
 	}
 
 	if len(pending.Signatures) == len(c.owners) {
@@ -87,7 +88,7 @@
 func (c *Catalog) accept(at entry, ledger *ledger) {
 	c.assertAcceptable(ledger)
 
-	accepted := ledger.conclude(Accepted, at.now)
+	accepted := ledger.recordDecision(Accepted, at.now)
 	data := accepted.text.bytes()
 
 	if ledger.name == Owners {
--- a/internal/state/catalog/environment.go
+++ b/internal/state/catalog/environment.go
@@ -28,12 +28,12 @@
 	keys            []view.Key // newest first
 	rotations       uint64
 
-	current  *view.View // nil until the first view after a start or restore
-	affected affected
+	current        *view.View // nil until the first view after a start or restore
+	pendingChanges viewChanges
 }
 
-// affected lists what has changed since the current view was built.
-type affected struct {
+// viewChanges lists what has changed since the current view was built.
+type viewChanges struct {
 	services map[view.ServiceID]bool
 	members  map[view.Incarnation]bool
 	keys     bool
@@ -49,12 +49,12 @@
 		byAddress:       map[netip.AddrPort]view.Incarnation{},
 		retired:         retiredBoots{set: map[BootID]bool{}},
 		starts:          starts{byData: map[netip.AddrPort][]int64{}},
-		affected:        newAffected(),
+		pendingChanges:  newViewChanges(),
 	}
 }
 
-func newAffected() affected {
-	return affected{services: map[view.ServiceID]bool{}, members: map[view.Incarnation]bool{}}
+func newViewChanges() viewChanges {
+	return viewChanges{services: map[view.ServiceID]bool{}, members: map[view.Incarnation]bool{}}
 }
 
 // checkServices refuses services that change the buckets of a service in force, or
@@ -124,13 +124,13 @@
 		}
 
 		if !ok || !old.Equal(next[i]) {
-			e.affected.services[next[i].ID] = true
+			e.pendingChanges.services[next[i].ID] = true
 		}
 	}
 
 	for _, old := range e.services {
 		if !kept[old.ID] {
-			e.affected.services[old.ID] = true
+			e.pendingChanges.services[old.ID] = true
 		}
 	}
 
@@ -143,8 +143,8 @@
 	e.indexServices(next)
 }
 
-// view returns the current view. It updates the previous view with what is
-// affected, or builds the view from the whole state if there is none.
+// view returns the current view. It applies the changes since the previous view, or
+// builds the view from the whole state if there is none.
 func (e *environment) view(generation, version uint64, digest [32]byte) *view.View {
 	position := view.Position{Generation: generation, Index: e.index}
 
@@ -154,7 +154,7 @@
 
 	if e.current == nil {
 		e.current = e.build(position, version, digest)
-		e.affected = newAffected()
+		e.pendingChanges = newViewChanges()
 
 		return e.current
 	}
@@ -165,7 +165,7 @@
 	}
 
 	e.current = next
-	e.affected = newAffected()
+	e.pendingChanges = newViewChanges()
 
 	return e.current
 }
@@ -190,7 +190,7 @@
 func (e *environment) delta(position view.Position, version uint64, digest [32]byte) view.Delta {
 	delta := view.Delta{From: e.current.Position(), To: position, Version: version, Digest: digest}
 
-	for id := range e.affected.services {
+	for id := range e.pendingChanges.services {
 		i, ok := slices.BinarySearchFunc(e.services, id, func(s view.Service, id view.ServiceID) int {
 			return cmp.Compare(s.ID, id)
 		})
@@ -201,7 +201,7 @@
 		}
 	}
 
-	for _, incarnation := range slices.Sorted(maps.Keys(e.affected.members)) {
+	for _, incarnation := range slices.Sorted(maps.Keys(e.pendingChanges.members)) {
 		member, ok := e.members[incarnation]
 		_, wasAgent := e.current.Agent(incarnation)
 		_, wasBalancer := e.current.Balancer(incarnation)
@@ -218,7 +218,7 @@
 		}
 	}
 
-	if e.affected.keys {
+	if e.pendingChanges.keys {
 		delta.Keys = slices.Clone(e.keys)
 	}
 
--- a/internal/state/catalog/flapping.go
+++ b/internal/state/catalog/flapping.go
@@ -11,9 +11,9 @@
 	maxRecentStarts = 65_536
 
 	// An address that announces flapStarts incarnations within flapWindow is
-	// flapping. The new incarnation starts with flapWeight and is ramped up,
-	// because a backend server that crashes under load must not get its full
-	// share of new flows at once.
+	// flapping. The new incarnation starts with flapWeight, and the leader doubles
+	// its weight step by step with SetWeight, because a backend server that crashes
+	// under load must not get its full share of new flows at once.
 	flapStarts = 3
 	flapWindow = 30 * time.Second
 	flapWeight = 1
--- a/internal/state/catalog/member.go
+++ b/internal/state/catalog/member.go
@@ -76,7 +76,7 @@
 	e.members[m.Incarnation] = m
 	e.byBoot[m.Boot] = m.Incarnation
 	e.byAddress[m.Data] = m.Incarnation
-	e.affected.members[m.Incarnation] = true
+	e.pendingChanges.members[m.Incarnation] = true
 }
 
 // remove removes a member, which may announce again with its boot ID.
@@ -93,7 +93,7 @@
 	delete(e.members, incarnation)
 	delete(e.byBoot, old.Boot)
 	delete(e.byAddress, old.Data)
-	e.affected.members[incarnation] = true
+	e.pendingChanges.members[incarnation] = true
 }
 
 // retire removes a member and refuses later announcements with its boot ID.
@@ -102,8 +102,7 @@
 	e.remove(incarnation)
 }
 
-// leave starts draining a member or removes it. A repeated leave succeeds without
-// effect.
+// leave starts draining a member or removes it. A resend succeeds without effect.
 func (e *environment) leave(command Leave) (Result, bool) {
 	existing, ok := e.members[command.Incarnation]
 	result := Result{Incarnation: command.Incarnation}
--- a/internal/state/catalog/record.go
+++ b/internal/state/catalog/record.go
@@ -54,7 +54,7 @@
 	Decided    int64       `cbor:"8,keyasint"`
 	Signatures []Signature `cbor:"9,keyasint"`
 	Chunks     []uint32    `cbor:"10,keyasint,omitempty"` // indexes into snapshot.Chunks, in snapshots only
-	text       text
+	text       chunkedText
 }
 
 func (c *change) record(environment string) Record {
@@ -104,18 +104,18 @@
 	changes    []*change  // accepted and rejected, oldest first
 }
 
-// conclude moves the pending change into the history.
-func (l *ledger) conclude(status Status, now int64) *change {
-	concluded := l.pending
-	concluded.Status, concluded.Decided = status, now
+// recordDecision records the decision on the pending change and moves it into the history.
+func (l *ledger) recordDecision(status Status, now int64) *change {
+	decided := l.pending
+	decided.Status, decided.Decided = status, now
 	l.pending = nil
-	l.changes = append(l.changes, concluded)
+	l.changes = append(l.changes, decided)
 
 	if status == Rejected {
-		concluded.text = nil
-		l.rejections = append(l.rejections, concluded.Digest)
+		decided.text = nil
+		l.rejections = append(l.rejections, decided.Digest)
 	} else {
-		l.version = concluded.Version
+		l.version = decided.Version
 		l.rejections = nil
 		l.dropOldDocument()
 	}
@@ -124,7 +124,7 @@
 		l.changes = l.changes[1:]
 	}
 
-	return concluded
+	return decided
 }
 
 // dropOldDocument drops the document that is no longer among the newest
@@ -170,7 +170,7 @@
 
 // latestText returns the document in force, which usually shares most chunks with
 // the next version.
-func (l *ledger) latestText() text {
+func (l *ledger) latestText() chunkedText {
 	if latest := l.acceptedByVersion(l.version); latest != nil {
 		return latest.text
 	}
--- a/internal/state/catalog/rotation.go
+++ b/internal/state/catalog/rotation.go
@@ -7,11 +7,13 @@
 )
 
 const (
-	// keyIDCount is the number of key IDs. Receivers compare IDs modulo 64.
+	// keyIDCount is the number of distinct key IDs. The marker byte of a datagram
+	// has 6 bits for the ID (see package keyring), so IDs are modulo 64.
 	keyIDCount = 64
-	// maxKeys limits the fabric keys in a view. Receivers need the newest three
-	// until every instance has applied a rotation. Connection IDs of long-lived
-	// feeds need the key that was in use when their flow was opened.
+	// maxKeys limits the fabric keys in a view. Senders seal with the second newest
+	// key, and receivers accept the newest three, because instances apply a rotation
+	// at different times. Connection IDs of long-lived feeds need the key that was in
+	// use when their flow was opened.
 	maxKeys = 8
 )
 
@@ -34,7 +36,7 @@
 	newest := view.Key{ID: uint8(e.rotations % keyIDCount), Secret: command.Secret}
 	e.keys = append([]view.Key{newest}, e.keys[:min(len(e.keys), maxKeys-1)]...)
 	e.rotations++
-	e.affected.keys = true
+	e.pendingChanges.keys = true
 
 	return e.keyResult(), true
 }
--- a/internal/state/catalog/snapshot.go
+++ b/internal/state/catalog/snapshot.go
@@ -83,7 +83,7 @@
 }
 
 // add returns the numbers of the chunks of a text.
-func (c *chunkTable) add(t text) []uint32 {
+func (c *chunkTable) add(t chunkedText) []uint32 {
 	numbers := make([]uint32, 0, len(t))
 
 	for _, part := range t {
@@ -283,7 +283,7 @@
 		env.starts.add(s)
 	}
 
-	env.affected = newAffected()
+	env.pendingChanges = newViewChanges()
 
 	return nil
 }
--- a/internal/state/catalog/submit.go
+++ b/internal/state/catalog/submit.go
@@ -55,7 +55,7 @@
 		reason:      command.Reason,
 		digest:      document.Digest(command.Document),
 		commandHash: hashCommand(command),
-	}, func() (text, *Result) { return c.checkDocument(command.Environment, command.Document) })
+	}, func() (chunkedText, *Result) { return c.checkDocument(command.Environment, command.Document) })
 }
 
 func (c *Catalog) promote(at entry, command Promote) (Result, bool) {
@@ -67,7 +67,7 @@
 		reason:      command.Reason,
 		digest:      command.Digest,
 		commandHash: hashCommand(command),
-	}, func() (text, *Result) {
+	}, func() (chunkedText, *Result) {
 		trial := c.ledgers[Trial].acceptedByDigest(command.Digest)
 		if trial == nil || trial.text == nil {
 			refusal := refuse(KindNotInTrial, "digest %x was not accepted in trial, or its bytes are no longer kept",
@@ -93,7 +93,7 @@
 
 // propose makes a change pending. It calls check last, which returns the text to
 // keep or a refusal.
-func (c *Catalog) propose(at entry, p proposal, check func() (text, *Result)) (Result, bool) {
+func (c *Catalog) propose(at entry, p proposal, check func() (chunkedText, *Result)) (Result, bool) {
 	if !validID(p.id) {
 		return refuse(KindInvalid, "found change ID %q, allowed: 1 to %d printable ASCII characters",
 			p.id, maxIDBytes), false
@@ -181,7 +181,7 @@
 
 // checkDocument checks a document against the schema and against what is in force
 // in the environment.
-func (c *Catalog) checkDocument(environment string, data []byte) (text, *Result) {
+func (c *Catalog) checkDocument(environment string, data []byte) (chunkedText, *Result) {
 	digest := document.Digest(data)
 	ledger := c.ledgers[environment]
 
@@ -224,7 +224,7 @@
 	return &refusal
 }
 
-func (c *Catalog) pendingText(environment string) text {
+func (c *Catalog) pendingText(environment string) chunkedText {
 	if pending := c.ledgers[environment].pending; pending != nil {
 		return pending.text
 	}
@@ -264,7 +264,7 @@
 		reason:      command.Reason,
 		digest:      digest,
 		commandHash: hashCommand(command),
-	}, func() (text, *Result) {
+	}, func() (chunkedText, *Result) {
 		if refusal := c.ledgers[Owners].checkRejected(digest); refusal != nil {
 			return nil, refusal
 		}
