--- a/internal/state/checkpoint/checkpoint.go
+++ b/internal/state/checkpoint/checkpoint.go
@@ -64,7 +64,7 @@
 type Batch struct {
 	Agent        flow.Endpoint
 	BackendStart int64  // start of the backend server, Unix milliseconds
-	Epoch        uint64 // identifies the start of the agent; rises with each start
+	Epoch        uint64 // identifies the run of the agent's process; higher for each later run
 	From, To     uint64
 	Opened       []Flow // opened or changed
 	Closed       []flow.Key
--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -212,7 +212,8 @@
 	is.True(!apply(newer)) // repeated
 	is.True(!apply(checkpoint.Batch{Agent: agent, BackendStart: backendStart, Epoch: epoch, To: 99}))
 	is.True(!apply(checkpoint.Batch{Agent: agent, BackendStart: backendStart + 1, Epoch: epoch, To: 99}))
-	is.True(!apply(checkpoint.Batch{Agent: agent, BackendStart: backendStart + 1, Epoch: epoch + 1, From: 6, To: 7})) // a gap
+	// A gap between the positions.
+	is.True(!apply(checkpoint.Batch{Agent: agent, BackendStart: backendStart + 1, Epoch: epoch + 1, From: 6, To: 7}))
 	assertStored(t, store, flows(1))
 }
 
--- a/internal/state/checkpoint/tracker.go
+++ b/internal/state/checkpoint/tracker.go
@@ -6,9 +6,9 @@
 
 const (
 	// minAckProgressBytes is the number of newly acknowledged bytes after which an
-	// open flow is sent again. The sequence number of a reset has to be close to the last
-	// byte that the client acknowledged; this is half of the smallest receive window
-	// in use.
+	// open flow is sent again. A reset needs a sequence number in the client's receive
+	// window, which starts at the last byte that the client acknowledged; this is half
+	// of the smallest receive window in use.
 	minAckProgressBytes = 32 << 10
 
 	// maxClosedFlows limits the closed flows that are kept for unresponsive
