--- a/internal/state/document/empty.go
+++ b/internal/state/document/empty.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// isOutsideBlock reports whether the current token is on a later line than the first
-// token of a block and not inside that block.
+// isOutsideBlock reports whether the current token is on a later line than the
+// previous token and not indented enough to belong to the block that opener starts.
 func (e *emptyValues) isOutsideBlock(current, opener *token.Token) bool {
 	if current.Position.Line == e.previous.Position.Line || len(e.colons) > 0 {
 		return false
--- a/internal/state/document/match.go
+++ b/internal/state/document/match.go
@@ -50,8 +50,8 @@
 	return len(path) == len(prefix) || prefix == "/" || path[len(prefix)] == '/'
 }
 
-// isCleanPath reports whether the path is absolute and has no empty segment but
-// the last, and no segment "." or "..".
+// isCleanPath reports whether the path is absolute and has no segment "." or "..",
+// and no empty segment except after a trailing slash.
 func isCleanPath(path string) bool {
 	if path == "" || path[0] != '/' {
 		return false
--- a/internal/state/document/tree.go
+++ b/internal/state/document/tree.go
@@ -82,7 +82,7 @@
 const maxMappingKeys = 64
 
 // findLimitFault looks for nesting deeper than maxNesting, for mappings of more
-// than maxKeys keys, and for more than maxEmptyValues empty values.
+// than maxMappingKeys keys, and for more than maxEmptyValues empty values.
 func findLimitFault(name string, tokens token.Tokens) (Fault, bool) {
 	var (
 		s sizeChecker
