--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -1,7 +1,7 @@
-// Package roster maintains the list of live agents of pass-through services. It is
-// soft state: agents announce themselves periodically to every controller, and a
-// restarted controller knows all of them after one interval. It is never written to
-// disk.
+// Package roster maintains the list of agents of pass-through services and their
+// availability. It is soft state: agents announce themselves periodically to every
+// controller, and a restarted controller knows all of them after one interval. It is
+// never written to disk.
 //
 // # Usage
 //
@@ -28,7 +28,8 @@
 	SilentTimeout = 1600 * time.Millisecond
 
 	// GoneTimeout is the time without announcements after which an agent is considered
-	// lost. The restart of an instance takes less.
+	// lost. It is longer than the restart of an instance, so that a restarting agent
+	// is not considered lost.
 	GoneTimeout = 5 * time.Second
 
 	// maxEarlierBoots limits the earlier starts of an agent whose delayed
@@ -36,7 +37,8 @@
 	maxEarlierBoots = 8
 
 	// minFlowsChangeFraction is the smallest change in the number of flows that is
-	// published to followers, as a fraction of the new number.
+	// published to followers, as a fraction of the new number and at least 2 flows. A
+	// change of the waiting flows is published if it reaches the number of slots.
 	minFlowsChangeFraction = 0.125
 )
 
@@ -102,8 +104,8 @@
 	return r != other
 }
 
-// member is a record with the internal state of the list for its agent.
-type member struct {
+// entry is a record with the internal state of the list for its agent.
+type entry struct {
 	Record
 	sequence     uint64
 	lastSeen     time.Time
@@ -114,13 +116,13 @@
 type List struct {
 	epoch    uint64
 	position uint64
-	members  map[flow.Endpoint]*member
+	entries  map[flow.Endpoint]*entry
 }
 
 // New returns an empty list. The epoch must be random for each start of the
 // controller.
 func New(epoch uint64) *List {
-	return &List{epoch: epoch, members: make(map[flow.Endpoint]*member)}
+	return &List{epoch: epoch, entries: make(map[flow.Endpoint]*entry)}
 }
 
 // Epoch returns the epoch of the list.
@@ -133,8 +135,8 @@
 func (l *List) Len() int {
 	count := 0
 
-	for _, m := range l.members {
-		if m.State != Gone {
+	for _, e := range l.entries {
+		if e.State != Gone {
 			count++
 		}
 	}
@@ -147,12 +149,12 @@
 // immediately. The sequence increases with each announcement of one start; delayed
 // announcements are ignored.
 func (l *List) Announce(now time.Time, record Record, sequence uint64) bool {
-	known := l.members[record.Address]
+	known := l.entries[record.Address]
 
 	switch {
 	case known == nil:
-		known = &member{}
-		l.members[record.Address] = known
+		known = &entry{}
+		l.entries[record.Address] = known
 	case known.Boot == record.Boot && sequence <= known.sequence:
 		return false
 	case slices.Contains(known.earlierBoots, record.Boot):
@@ -181,22 +183,24 @@
 func (l *List) Expire(now time.Time) bool {
 	changed := false
 
-	for address, m := range l.members {
-		sinceSeen := now.Sub(m.lastSeen)
-		next := m.State
+	for address, e := range l.entries {
+		sinceSeen := now.Sub(e.lastSeen)
+		next := e.State
 
 		switch {
-		case m.State == Gone && sinceSeen > 2*GoneTimeout:
-			delete(l.members, address)
+		// Followers poll several times a second, so they have received the Gone record
+		// before the agent is deleted.
+		case e.State == Gone && sinceSeen > 2*GoneTimeout:
+			delete(l.entries, address)
 		case sinceSeen > GoneTimeout:
 			next = Gone
 		case sinceSeen > SilentTimeout:
 			next = Silent
 		}
 
-		if next != m.State {
+		if next != e.State {
 			l.position++
-			m.State, m.Changed = next, l.position
+			e.State, e.Changed = next, l.position
 			changed = true
 		}
 	}
@@ -209,9 +213,9 @@
 func (l *List) Since(position uint64) ([]Record, uint64) {
 	var records []Record
 
-	for _, m := range l.members {
-		if m.Changed > position && (position > 0 || m.State != Gone) {
-			records = append(records, m.Record)
+	for _, e := range l.entries {
+		if e.Changed > position && (position > 0 || e.State != Gone) {
+			records = append(records, e.Record)
 		}
 	}
 
