--- a/internal/state/view/index.go
+++ b/internal/state/view/index.go
@@ -1,7 +1,8 @@
 package view
 
 // pageBits splits the service IDs into 256 pages of 256 services, so that a change
-// to one service copies 8 KiB and not a map of all services.
+// to one service copies 8 KiB, one page (6 KiB) and the page table (2 KiB), and not
+// a map of all services.
 const pageBits = 8
 
 type agentPage [1 << pageBits][]Agent
