--- a/internal/state/wal/replay.go
+++ b/internal/state/wal/replay.go
@@ -1,7 +1,7 @@
 package wal
 
 // replay tracks the state of the log while its records are read and written. Both
-// directions use the same rules, so that Save accepts exactly what Open can read.
+// use the same checks, so that Save accepts exactly what Open can read.
 type replay struct {
 	hardState     HardState
 	snapshotIndex uint64  // index of the newest saved snapshot
--- a/internal/state/wal/types.go
+++ b/internal/state/wal/types.go
@@ -64,7 +64,7 @@
 	Data    []byte   `cbor:"4,keyasint"` // state of the application
 }
 
-// Stored is the durable state found when a data directory is opened.
+// Stored is the durable state that Log.TakeStored returns.
 type Stored struct {
 	HardState HardState
 	Snapshot  Snapshot // Index 0 if there is none
