--- a/internal/protocol/control/change.go
+++ b/internal/protocol/control/change.go
@@ -6,7 +6,7 @@
 type Submit struct {
 	Environment string `cbor:"1,keyasint"`
 	Base        uint64 `cbor:"2,keyasint"`
-	ChangeID    string `cbor:"3,keyasint"` // chosen by the author; a retry with the same ID gets the original reply
+	ChangeID    string `cbor:"3,keyasint"` // chosen by the author; a resend with the same ID gets the original reply
 	Author      string `cbor:"4,keyasint"`
 	Reason      string `cbor:"5,keyasint,omitempty"`
 	Document    []byte `cbor:"6,keyasint"`
@@ -24,7 +24,7 @@
 		err
 }
 
-// Sign approves the pending change with an owner's signature over
+// Sign accepts the pending change with an owner's signature over
 // document.SignedText.
 type Sign struct {
 	Environment string `cbor:"1,keyasint"`
@@ -86,13 +86,15 @@
 // ChangeState is the state of a change.
 type ChangeState string
 
-// The states of a change. After a conflict, the winning change stays in force.
+// The states of a change.
 const (
 	StatePending  ChangeState = "pending"
 	StateAccepted ChangeState = "accepted"
 	StateRejected ChangeState = "rejected"
+	// StateConflict: another change is pending or was accepted after the base
+	// version, so the submitted change was not recorded.
 	StateConflict ChangeState = "conflict"
-	StateInvalid  ChangeState = "invalid"
+	StateInvalid  ChangeState = "invalid" // refused, see ChangeReply.Refusal and Message
 )
 
 // Change describes one version of an environment's document.
@@ -120,7 +122,7 @@
 // ChangeReply is the reply to Submit, Sign, Reject, Promote and ReplaceOwner.
 type ChangeReply struct {
 	State   ChangeState `cbor:"1,keyasint"`
-	Change  Change      `cbor:"2,keyasint"`           // the caller's change; after a conflict, the winning one
+	Change  Change      `cbor:"2,keyasint"`           // the caller's change; after a conflict, the one that was first
 	Refusal string      `cbor:"3,keyasint,omitempty"` // kind of the refusal
 	Message string      `cbor:"4,keyasint,omitempty"` // why the change was refused
 	Leader  string      `cbor:"5,keyasint,omitempty"` // name of the controller that answered
--- a/internal/protocol/control/control.go
+++ b/internal/protocol/control/control.go
@@ -49,7 +49,7 @@
 	MaxSigners   = 2       // signatures of one change, since there are two owners
 	MaxMembers   = 20      // controllers in a group, including their replacements
 	MaxInstances = 4096    // instances in one status reply, about 400 KB
-	MaxTopic     = 1024    // bytes of the topic of an Explain
+	MaxTopic     = 1024    // bytes of the change ID or version in an Explain
 	MaxLines     = 1024    // lines of an explanation
 	MaxChunk     = 1 << 18 // bytes of a view in one Update
 	MaxChunks    = 256     // chunks of one view, 64 MiB in total
--- a/internal/protocol/control/membership.go
+++ b/internal/protocol/control/membership.go
@@ -20,10 +20,10 @@
 // The phases of a Leave, in order.
 const (
 	PhaseDraining Phase = iota + 1 // weight 0, receives no new requests
-	PhaseGone                      // removed from the membership
+	PhaseGone                      // removed from the view
 )
 
-// Announce registers an agent or a balancer. A retry with the same boot ID gets
+// Announce registers an agent or a balancer. A resend with the same boot ID gets
 // the same incarnation.
 type Announce struct {
 	Environment string         `cbor:"1,keyasint"`
--- a/internal/protocol/control/operator.go
+++ b/internal/protocol/control/operator.go
@@ -102,10 +102,11 @@
 	return v.err
 }
 
-// Explain asks why the controller is in its current state.
+// Explain asks who submitted and signed a change, how it was decided and where it is
+// in force.
 type Explain struct {
 	Environment string `cbor:"1,keyasint"`
-	Topic       string `cbor:"2,keyasint"` // a service, an incarnation or a change ID
+	Topic       string `cbor:"2,keyasint"` // a change ID or a version
 }
 
 // Check reports the first field out of bounds.
@@ -140,13 +141,13 @@
 	MembersRemove  MembersAction = "remove"
 )
 
-// Member is one controller.
+// Member is one controller of the group. Agents and balancers are Instances.
 type Member struct {
-	Replica uint64         `cbor:"1,keyasint"` // identity of the replica's data directory
+	Replica uint64         `cbor:"1,keyasint"` // random ID of the replica (wal.ReplicaID)
 	Name    string         `cbor:"2,keyasint"`
 	Address netip.AddrPort `cbor:"3,keyasint"`
 	Voter   bool           `cbor:"4,keyasint"`
-	Match   uint64         `cbor:"5,keyasint,omitempty"` // highest log index known to be replicated to it
+	Match   uint64         `cbor:"5,keyasint,omitempty"` // highest log index that it is known to have stored
 }
 
 // Members lists or changes the controller group.
@@ -191,7 +192,7 @@
 // RotateKey asks for a new fabric key. The leader creates the secret.
 type RotateKey struct {
 	Environment string `cbor:"1,keyasint"`
-	Rotation    uint64 `cbor:"2,keyasint"` // rotations so far, so that a retry does not rotate twice
+	Rotation    uint64 `cbor:"2,keyasint"` // rotations so far, so that a resend does not rotate twice
 }
 
 // Check reports the first field out of bounds.
@@ -199,7 +200,7 @@
 	return newValidator("rotate key").requiredName("environment", r.Environment).err
 }
 
-// RotateKeyReply identifies the key in use, without its secret.
+// RotateKeyReply identifies the newest fabric key, without its secret.
 type RotateKeyReply struct {
 	KeyID    uint8  `cbor:"1,keyasint"`
 	Rotation uint64 `cbor:"2,keyasint"` // rotations so far
