--- a/internal/protocol/datagram/datagram.go
+++ b/internal/protocol/datagram/datagram.go
@@ -13,9 +13,9 @@
 //	}
 //	payload := received[datagram.HeaderLength:]
 //
-// Sealing and opening work in place and do not allocate. The tag is
-// SipHash-2-4 (Aumasson and Bernstein, "SipHash: a fast short-input PRF",
-// 2012) over the header without the tag.
+// Sealing and opening work in place and do not allocate. Each header ends with
+// an authentication tag: SipHash-2-4 (Aumasson and Bernstein, "SipHash: a fast
+// short-input PRF", 2012) over the header without the tag.
 package datagram
 
 import (
@@ -35,7 +35,7 @@
 const (
 	Forward Kind = iota + 1 // balancer to agent: from a caller
 	Reply                   // agent to balancer: to a caller
-	Stale                   // agent to balancer: the datagram was for another incarnation or service
+	Stale                   // agent to balancer: a datagram reached an agent of another incarnation or service
 	Ping                    // either direction: the receiver replies with a pong
 	Pong
 	kindLimit // first value that is not a kind
