--- a/internal/protocol/wire/wire.go
+++ b/internal/protocol/wire/wire.go
@@ -1,5 +1,6 @@
 // Package wire defines the messages between the processes of pass-through
-// services. The first byte of a message is its Kind. Messages about single flows
+// services. An entry instance is one that receives the packets of clients and forwards
+// them to agents. The first byte of a message is its Kind. Messages about single flows
 // have a fixed binary layout, because one is sent for each new flow; all others
 // are CBOR.
 //
@@ -43,7 +44,7 @@
 	KindLocated                      // Located, to an entry instance
 	KindFound                        // Found, to an entry instance
 	KindCheckpoint                   // a checkpoint.Batch, to a controller
-	KindCheckpointed                 // Checkpointed, to an agent
+	KindCheckpointed                 // a checkpoint.Acknowledgement, to an agent
 	KindRestore                      // Restore, to a controller
 	KindRestoreReply                 // the checkpoint batches of the agent, concatenated
 )
@@ -209,8 +210,8 @@
 	return Returned{Load: parseLoad(body), Packet: body[loadBytes:]}, nil
 }
 
-// Found reports that the sender's backend server holds a flow of which the sender
-// was not sure before.
+// Found reports that the sender's backend server holds a flow for which the sender
+// answered Unsure to an earlier Locate.
 type Found struct{ Key flow.Key }
 
 // Append appends the message to the buffer.
