--- a/internal/transport/frag/frag.go
+++ b/internal/transport/frag/frag.go
@@ -41,8 +41,8 @@
 	// maxPartialMessages limits the messages that wait for missing fragments.
 	maxPartialMessages = 64
 
-	// partialTimeout is several round trips between regions. By then, the sender
-	// has given up the message.
+	// partialTimeout is several round trips between regions. A message that is still
+	// incomplete by then counts as lost.
 	partialTimeout = 2 * time.Second
 
 	// The types of datagrams, in the first byte.
@@ -70,7 +70,8 @@
 	return failure.New("frag", operation, kind, err)
 }
 
-// Handler handles a message that another process sent.
+// Handler handles a message that another process sent. The message is valid until the
+// handler returns.
 type Handler func(from netip.AddrPort, message []byte)
 
 // Conn sends and receives messages. Send is safe for concurrent use.
