--- a/internal/transport/identity/identity.go
+++ b/internal/transport/identity/identity.go
@@ -131,7 +131,7 @@
 	Roles []Role
 	// Environment is the environment that the peer must serve. A peer whose
 	// environment is AllEnvironments serves every environment. A policy with
-	// AllEnvironments or the empty string accepts every peer.
+	// AllEnvironments or the empty string accepts peers of every environment.
 	Environment string
 }
 
