--- a/internal/transport/link/answer.go
+++ b/internal/transport/link/answer.go
@@ -18,8 +18,8 @@
 // wait, a closing server could drop a reply that is still in its send buffer.
 const lingerTimeout = time.Second
 
-// answer reads one request, runs its handler and writes the reply.
-func (s *Server) answer(callsCtx, acceptCtx context.Context, stream *quic.Stream) {
+// handleCall reads one request, runs its handler and writes the reply.
+func (s *Server) handleCall(callsCtx, acceptCtx context.Context, stream *quic.Stream) {
 	defer stream.CancelRead(codeCanceled)
 	defer stream.Close() //nolint:errcheck // a cancelled stream is closed already
 
@@ -52,14 +52,14 @@
 
 	switch {
 	case !unary && !streaming:
-		s.finish(stream, "unknown", errorEnvelope(Errorf(KindMethod, "method %q does not exist", call.Method)))
+		s.sendLast(stream, "unknown", errorEnvelope(Errorf(KindMethod, "method %q does not exist", call.Method)))
 	case !s.calls.begin():
-		s.finish(stream, call.Method, errorEnvelope(Errorf(KindClosing, "the server shuts down")))
+		s.sendLast(stream, call.Method, errorEnvelope(Errorf(KindClosing, "the server is shutting down")))
 	case unary:
 		defer s.calls.end()
 
 		countFrame(call.Method, len(request.encoded), 0)
-		s.answerUnary(ctx, stream, request, handler)
+		s.handleUnary(ctx, stream, request, handler)
 		linger(stream)
 	default:
 		// A server stream can run indefinitely, so a closing server cancels it
@@ -69,7 +69,7 @@
 		defer context.AfterFunc(acceptCtx, cancel)()
 
 		countFrame(call.Method, len(request.encoded), 0)
-		s.answerStream(ctx, acceptCtx, stream, request, streamer)
+		s.handleStream(ctx, acceptCtx, stream, request, streamer)
 	}
 }
 
@@ -99,27 +99,27 @@
 	return &Request{method: call.Method, encoded: body}, nil
 }
 
-func (s *Server) answerUnary(ctx context.Context, stream *quic.Stream, request *Request, handler Handler) {
+func (s *Server) handleUnary(ctx context.Context, stream *quic.Stream, request *Request, handler Handler) {
 	reply, err := handler(ctx, request)
 	if err != nil {
-		s.finish(stream, request.method, errorEnvelope(err))
+		s.sendLast(stream, request.method, errorEnvelope(err))
 
 		return
 	}
 
 	body, err := cbor.Marshal(reply)
 	if err != nil {
-		s.finish(stream, request.method, errorEnvelope(err))
+		s.sendLast(stream, request.method, errorEnvelope(err))
 
 		return
 	}
 
 	if err := s.write(stream, request.method, envelope{Body: body, End: true}); KindOf(err) == KindTooLarge {
-		s.finish(stream, request.method, errorEnvelope(err))
+		s.sendLast(stream, request.method, errorEnvelope(err))
 	}
 }
 
-func (s *Server) answerStream(
+func (s *Server) handleStream(
 	ctx, acceptCtx context.Context, stream *quic.Stream, request *Request, handler StreamHandler,
 ) {
 	err := handler(ctx, request, func(item any) error {
@@ -135,17 +135,17 @@
 
 	switch {
 	case acceptCtx.Err() != nil:
-		last = errorEnvelope(Errorf(KindClosing, "the server shuts down"))
+		last = errorEnvelope(Errorf(KindClosing, "the server is shutting down"))
 	case err != nil:
 		last = errorEnvelope(err)
 	}
 
-	s.finish(stream, request.method, last)
+	s.sendLast(stream, request.method, last)
 }
 
-// finish sends the last envelope. A failure is only logged, because the caller
+// sendLast sends the last envelope. A failure is only logged, because the caller
 // can no longer be reached.
-func (s *Server) finish(stream *quic.Stream, method string, last envelope) {
+func (s *Server) sendLast(stream *quic.Stream, method string, last envelope) {
 	if err := s.write(stream, method, last); err != nil {
 		s.logger.Debug("a reply could not be sent", "method", method, "error", err)
 	}
--- a/internal/transport/link/client.go
+++ b/internal/transport/link/client.go
@@ -95,7 +95,7 @@
 		return nil, c.handleFailure(ctx, session, err)
 	}
 
-	return &Stream{client: c, session: session, exchange: stream, ctx: ctx}, nil
+	return &Stream{client: c, session: session, callStream: stream, ctx: ctx}, nil
 }
 
 // Connected returns the identity and the address of the server in use, and false
@@ -222,21 +222,21 @@
 		if address, ok := typed.Redirect(); ok {
 			c.preferAddress(address, failed)
 		} else {
-			c.avoidAddress(failed)
+			c.abandonServer(failed)
 		}
 	case KindClosing:
-		c.avoidAddress(failed)
+		c.abandonServer(failed)
 	case KindSilent:
 		return c.probe(ctx, failed, typed)
 	case KindGone:
 		metrics.Add(metricGone, 1)
-		c.avoidAddress(failed)
+		c.abandonServer(failed)
 	}
 
 	return typed
 }
 
-// probe dials the address of a connection that timed out from a new socket. The
+// probe dials, from a new socket, the address of a connection that timed out. The
 // peer counts as gone only if this dial fails too.
 func (c *Client) probe(ctx context.Context, failed *session, cause *Error) error {
 	select {
@@ -261,7 +261,7 @@
 	}
 
 	metrics.Add(metricGone, 1)
-	c.avoidAddress(failed)
+	c.abandonServer(failed)
 
 	return &Error{operation: cause.operation, kind: KindGone, err: cause.err}
 }
@@ -281,7 +281,7 @@
 // preferAddress makes the next call dial the given address first, which need not
 // be in ClientOptions.Addresses.
 func (c *Client) preferAddress(address netip.AddrPort, failed *session) {
-	c.leaveSession(failed, func() {
+	c.abandonSession(failed, func() {
 		c.addresses = slices.DeleteFunc(c.addresses, func(other netip.AddrPort) bool { return other == address })
 		c.addresses = append([]netip.AddrPort{address}, c.addresses...)
 		// Limits the list to one address more than ClientOptions.Addresses, for
@@ -290,9 +290,10 @@
 	})
 }
 
-// avoidAddress makes the next call try the addresses of other servers first.
-func (c *Client) avoidAddress(failed *session) {
-	c.leaveSession(failed, func() {
+// abandonServer stops using a session for new calls and makes the next call try the
+// addresses of other servers first.
+func (c *Client) abandonServer(failed *session) {
+	c.abandonSession(failed, func() {
 		before := len(c.addresses)
 		c.addresses = slices.DeleteFunc(c.addresses, func(other netip.AddrPort) bool { return other == failed.address })
 
@@ -302,10 +303,10 @@
 	})
 }
 
-// leaveSession stops using a session for new calls and reorders the addresses,
+// abandonSession stops using a session for new calls and reorders the addresses,
 // unless another call has already done so. Calls in progress continue; the
 // session closes when the last of them has ended.
-func (c *Client) leaveSession(failed *session, reorder func()) {
+func (c *Client) abandonSession(failed *session, reorder func()) {
 	c.mutex.Lock()
 	isCurrent := c.current == failed
 
--- a/internal/transport/link/metrics.go
+++ b/internal/transport/link/metrics.go
@@ -3,7 +3,8 @@
 import "expvar"
 
 // metrics counts the frames and bytes received and sent by method, and the dials,
-// failed paths, lost peers and redirects of all clients of the process.
+// paths that timed out (KindSilent), lost peers (KindGone) and redirects of all
+// clients of the process.
 var metrics = expvar.NewMap("link")
 
 const (
--- a/internal/transport/link/server.go
+++ b/internal/transport/link/server.go
@@ -186,7 +186,7 @@
 		calls.Go(func() {
 			defer stopOnPanic(stopAccepting)
 
-			s.answer(context.WithValue(callsCtx, peerKey{}, peer), acceptCtx, stream)
+			s.handleCall(context.WithValue(callsCtx, peerKey{}, peer), acceptCtx, stream)
 		})
 	}
 }
--- a/internal/transport/link/session.go
+++ b/internal/transport/link/session.go
@@ -103,8 +103,8 @@
 	s.socket.Close()    //nolint:errcheck // the socket is given up
 }
 
-// exchange is one call in progress on its own QUIC stream.
-type exchange struct {
+// callStream is a call in progress on its own QUIC stream.
+type callStream struct {
 	method     string
 	stream     *quic.Stream
 	stopCancel func() bool
@@ -114,7 +114,7 @@
 
 // open starts a call by sending its request. When ctx ends, the QUIC stream is
 // cancelled in both directions.
-func (s *session) open(ctx context.Context, method string, request any) (*exchange, error) {
+func (s *session) open(ctx context.Context, method string, request any) (*callStream, error) {
 	s.acquire()
 
 	stream, err := s.connection.OpenStreamSync(ctx)
@@ -124,7 +124,7 @@
 		return nil, classify(method, err)
 	}
 
-	opened := &exchange{method: method, stream: stream, session: s}
+	opened := &callStream{method: method, stream: stream, session: s}
 	opened.stopCancel = context.AfterFunc(ctx, func() {
 		stream.CancelRead(codeCanceled)
 		stream.CancelWrite(codeCanceled)
@@ -144,7 +144,7 @@
 	return opened, nil
 }
 
-func (e *exchange) send(values ...any) error {
+func (e *callStream) send(values ...any) error {
 	for _, value := range values {
 		written, err := writeFrame(e.stream, value)
 		countFrame(e.method, 0, written)
@@ -158,7 +158,7 @@
 }
 
 // next reads one envelope and returns the error that it carries.
-func (e *exchange) next(ctx context.Context) (envelope, error) {
+func (e *callStream) next(ctx context.Context) (envelope, error) {
 	var result envelope
 
 	encoded, err := readFrame(e.stream)
@@ -177,7 +177,7 @@
 
 // wrapError returns the reason why the context or the connection ended, if one of
 // them has ended, instead of the stream error that results from it.
-func (e *exchange) wrapError(ctx context.Context, err error) error {
+func (e *callStream) wrapError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return &Error{operation: e.method, kind: KindDeadline, err: context.Cause(ctx)}
 	}
@@ -192,7 +192,7 @@
 
 // close closes the caller's side of the stream, which tells the server that the
 // reply has been read, and discards data that has not been read.
-func (e *exchange) close() {
+func (e *callStream) close() {
 	e.closeOnce.Do(func() {
 		e.stopCancel()
 		e.stream.Close() //nolint:errcheck // a cancelled stream is closed already
@@ -224,11 +224,11 @@
 // Stream is the client's side of a server stream. Next and Close must not be
 // called concurrently.
 type Stream struct {
-	client   *Client
-	session  *session
-	exchange *exchange
-	ctx      context.Context //nolint:containedctx // the context bounds the whole stream
-	ended    bool
+	client     *Client
+	session    *session
+	callStream *callStream
+	ctx        context.Context //nolint:containedctx // the context bounds the whole stream
+	ended      bool
 }
 
 // Next waits for the next item and decodes it into item. It returns false after
@@ -238,7 +238,7 @@
 		return false, nil
 	}
 
-	result, err := s.exchange.next(s.ctx)
+	result, err := s.callStream.next(s.ctx)
 	if err != nil {
 		s.Close()
 
@@ -260,5 +260,5 @@
 // Close cancels the stream at both ends.
 func (s *Stream) Close() {
 	s.ended = true
-	s.exchange.close()
+	s.callStream.close()
 }
