--- a/internal/transport/frag/frag.go
+++ b/internal/transport/frag/frag.go
@@ -41,8 +41,8 @@
 	// maxPartialMessages limits the messages that wait for missing fragments.
 	maxPartialMessages = 64
 
-	// partialTimeout is several round trips between regions. A message that is still
-	// incomplete by then counts as lost.
+	// partialTimeout is several round trips between regions. By then, the
+	// protocols above have given up the message.
 	partialTimeout = 2 * time.Second
 
 	// The types of datagrams, in the first byte.
