--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -188,8 +188,8 @@
 		next := e.State
 
 		switch {
-		// Followers poll several times a second, so they have received the Gone record
-		// before the agent is deleted.
+		// Followers poll several times a second and have had GoneTimeout to receive
+		// the Gone record.
 		case e.State == Gone && sinceSeen > 2*GoneTimeout:
 			delete(l.entries, address)
 		case sinceSeen > GoneTimeout:
