--- a/internal/protocol/control/operator.go
+++ b/internal/protocol/control/operator.go
@@ -102,8 +102,8 @@
 	return v.err
 }
 
-// Explain asks who submitted and signed a change, how it was decided and where it is
-// in force.
+// Explain asks who submitted and signed a change, how it was decided and at
+// how many instances it is in force.
 type Explain struct {
 	Environment string `cbor:"1,keyasint"`
 	Topic       string `cbor:"2,keyasint"` // a change ID or a version
