--- a/internal/state/catalog/result.go
+++ b/internal/state/catalog/result.go
@@ -42,7 +42,7 @@
 	Incarnation       view.Incarnation   `cbor:"10,keyasint,omitempty"`
 	Weight            uint8              `cbor:"11,keyasint,omitempty"`
 	Flapping          bool               `cbor:"12,keyasint,omitempty"` // the announced address restarts too often
-	Removed           []view.Incarnation `cbor:"13,keyasint,omitempty"` // members replaced, left or just suspended by Expire
+	Removed           []view.Incarnation `cbor:"13,keyasint,omitempty"` // members replaced, left or suspended by Expire
 	Rotation          uint64             `cbor:"14,keyasint,omitempty"` // fabric keys rotated so far
 	KeyID             uint8              `cbor:"15,keyasint,omitempty"` // of the newest fabric key
 }
