--- a/internal/program/sidecar/checkpointer.go
+++ b/internal/program/sidecar/checkpointer.go
@@ -45,7 +45,7 @@
 	logger   *slog.Logger
 	// recoverFlows restores the flows of a checkpoint. It returns false before the
 	// backend server has reported.
-	recoverFlows   func(memory checkpoint.RestoredFlows) (done bool)
+	recoverFlows   func(stored checkpoint.RestoredFlows) (done bool)
 	longLivedFlows func() (born int64, flows map[flow.Key]uint32)
 
 	mutex        sync.Mutex
@@ -221,8 +221,8 @@
 		return
 	}
 
-	c.logger.Info("recalled the flows of an earlier start", "controller", controller.String(), "born", restored.BackendStart,
-		"epoch", restored.Epoch, "flows", len(restored.Flows))
+	c.logger.Info("recalled the flows of an earlier start", "controller", controller.String(),
+		"born", restored.BackendStart, "epoch", restored.Epoch, "flows", len(restored.Flows))
 
 	if !c.recoverFlows(restored) {
 		c.pendingFlows = append(c.pendingFlows, restored)
--- a/internal/program/sidecar/checkpointer_test.go
+++ b/internal/program/sidecar/checkpointer_test.go
@@ -68,7 +68,8 @@
 	}
 
 	if kind == wire.KindRestore && recalls > 3 {
-		_ = c.conn.Send(from, c.memory.Append([]byte{byte(wire.KindRestoreReply)})) // the agent asks again if the reply is lost
+		// The agent asks again if the reply is lost.
+		_ = c.conn.Send(from, c.memory.Append([]byte{byte(wire.KindRestoreReply)}))
 	}
 }
 
--- a/internal/program/sidecar/metrics.go
+++ b/internal/program/sidecar/metrics.go
@@ -11,10 +11,10 @@
 type Metrics struct {
 	Decisions gate.Counters   `json:"decisions"`
 	Flows     int             `json:"flows"`   // open flows
-	Waiting   int             `json:"waiting"` // flows that wait for a reply
+	Waiting   int             `json:"waiting"` // flows that wait for an answer
 	Failing   bool            `json:"failing"` // requests fail, so new flows go to other agents
 	Version   uint64          `json:"version"` // of the document in force
-	Answers   latency.Summary `json:"answers"` // time to the first packet of a reply
+	Answers   latency.Summary `json:"answers"` // time to the first packet of an answer
 	Malformed uint64          `json:"malformed"`
 }
 
@@ -28,6 +28,6 @@
 	return Metrics{
 		Decisions: s.gate.Counters(), Flows: int(load.Flows), Waiting: int(load.Waiting),
 		Failing: load.Failing, Version: s.gate.Version(),
-		Answers: s.replyTimes.Summary(), Malformed: s.malformed.Load() + s.control.Dropped(),
+		Answers: s.answerTimes.Summary(), Malformed: s.malformed.Load() + s.control.Dropped(),
 	}
 }
--- a/internal/program/sidecar/sidecar.go
+++ b/internal/program/sidecar/sidecar.go
@@ -1,7 +1,8 @@
 // Package sidecar implements the agent of a pass-through service. The agent
 // relays packets between the entry instances and the backend server on its own
 // instance. Package gate makes the decisions; this package does the network
-// I/O.
+// I/O. Pass-through services don't terminate QUIC: package agent implements the
+// agent of the other services.
 //
 // # Usage
 //
@@ -85,7 +86,7 @@
 	control      *frag.Conn
 	follower     *follower.Follower
 	checkpointer *checkpointer
-	replyTimes   *latency.Histogram // time to the first packet of a reply
+	answerTimes  *latency.Histogram // time to the first packet of an answer
 
 	malformed atomic.Uint64 // datagrams that could not be decoded
 
@@ -99,7 +100,8 @@
 // New returns an agent with open sockets.
 func New(settings Settings, codec flow.Codec, logger *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{
-		settings: settings, codec: codec, logger: logger, replyTimes: latency.New(), notified: make(map[flow.Key]bool),
+		settings: settings, codec: codec, logger: logger, answerTimes: latency.New(),
+		notified: make(map[flow.Key]bool),
 	}
 	if err := s.listen(); err != nil {
 		return nil, errors.Join(newError("listen", KindListen, err), s.close())
@@ -107,9 +109,10 @@
 
 	s.gate = gate.New(gate.Config{
 		Service: settings.Service, Boot: time.Now(), ReportInterval: settings.ReportInterval,
-	}, s.replyTimes.Observe)
+	}, s.answerTimes.Observe)
 	s.follower = follower.New(follower.Config{
-		Conn: s.control, BootID: rand.Uint64(), Seeds: settings.Seeds, Events: events{s}, Announce: s.announce, Logger: logger,
+		Conn: s.control, BootID: rand.Uint64(), Seeds: settings.Seeds, Events: events{s},
+		Announce: s.announce, Logger: logger,
 	})
 	s.checkpointer = newCheckpointer(s)
 
@@ -161,7 +164,7 @@
 	return outcome, err
 }
 
-// BackendEnded records that the backend server has ended its work.
+// BackendEnded records that the backend server has ended.
 func (s *Sidecar) BackendEnded(id string, startMillis int64) {
 	s.mutex.Lock()
 	outcome := s.gate.MarkEnded(id, startMillis)
@@ -367,8 +370,8 @@
 }
 
 // sweep periodically expires the state of the gate and starts waiting requests. It
-// polls the controllers when the backend server stops reporting, or when its
-// requests begin or cease to fail.
+// polls the controllers, which publishes the agent's new record, when the backend
+// server stops reporting, or when its requests begin or cease to fail.
 func (s *Sidecar) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
