--- a/internal/program/forwarder/forwarder.go
+++ b/internal/program/forwarder/forwarder.go
@@ -1,6 +1,7 @@
 // Package forwarder implements the entry instance of pass-through services. It
 // forwards the packets of clients to agents. Package steering makes the
-// decisions; this package does the network I/O.
+// decisions; this package does the network I/O. Pass-through services don't
+// terminate QUIC.
 //
 // # Usage
 //
@@ -8,7 +9,8 @@
 //	err = process.Run(ctx)
 //
 // After ctx ends the instance reports that it is not ready and goes on
-// forwarding until the fabric has taken it out of rotation.
+// forwarding until the network in front of the entry instances has taken it out
+// of rotation.
 package forwarder
 
 import (
@@ -60,7 +62,8 @@
 	ClientPort     uint16         // UDP port at which clients receive packets
 	Seeds          func() []flow.Endpoint
 	// Linger is how long the instance forwards after it reports that it is not
-	// ready: the fabric needs several health checks to take it out of rotation.
+	// ready: the network in front of the entry instances needs several health
+	// checks to take it out of rotation.
 	Linger time.Duration
 	// LinkBytesPerSecond is the bandwidth of the instance in bytes per second; 0 if unknown.
 	LinkBytesPerSecond float64
@@ -128,7 +131,7 @@
 // Metrics holds the counters and the state of an entry instance.
 type Metrics struct {
 	Decisions steering.Counters `json:"decisions"`
-	Flows     int               `json:"flows"`   // flows whose agent is known
+	Flows     int               `json:"flows"`   // entries of the flow table
 	Version   uint64            `json:"version"` // of the document in force
 	Opened    latency.Summary   `json:"opened"`  // time until a new flow was accepted
 	Malformed uint64            `json:"malformed"`
