--- a/internal/program/registry/checkpoints.go
+++ b/internal/program/registry/checkpoints.go
@@ -46,16 +46,16 @@
 	inbox          chan receivedBatch
 	droppedBatches atomic.Uint64 // batches dropped because the disk was too slow
 
-	mutex    sync.Mutex // guards the fields below
-	store    *checkpoint.Store
-	file     *checkpoint.File // nil until the directory has been read
-	contacts *contacts
+	mutex          sync.Mutex // guards the fields below
+	store          *checkpoint.Store
+	file           *checkpoint.File // nil until the directory has been read
+	knownInstances *knownInstances
 }
 
 func newCheckpointService(directory string, conn *frag.Conn, logger *slog.Logger) *checkpointService {
 	return &checkpointService{
 		directory: directory, conn: conn, logger: logger, inbox: make(chan receivedBatch, maxPendingBatches),
-		store: checkpoint.NewStore(), contacts: newContacts(),
+		store: checkpoint.NewStore(), knownInstances: newKnownInstances(),
 	}
 }
 
@@ -95,7 +95,7 @@
 // notifySilent tells the instances that fell silent to poll this controller.
 func (s *checkpointService) notifySilent(now time.Time) {
 	s.mutex.Lock()
-	silent := s.contacts.dueNotifications(now)
+	silent := s.knownInstances.dueNotifications(now)
 	s.mutex.Unlock()
 
 	for _, instance := range silent {
@@ -117,7 +117,7 @@
 		return
 	}
 
-	instances, err := readContacts(wal.WithoutModes(), filepath.Join(s.directory, contactsFile))
+	instances, err := readKnownInstances(wal.WithoutModes(), filepath.Join(s.directory, instancesFile))
 	if err != nil {
 		s.logger.Warn("could not read the known instances", "error", err)
 	}
@@ -126,7 +126,7 @@
 
 	s.mutex.Lock()
 	s.store, s.file = store, file
-	s.contacts.restore(now, instances)
+	s.knownInstances.restore(now, instances)
 	s.mutex.Unlock()
 
 	s.notifySilent(now)
@@ -170,7 +170,7 @@
 	}
 
 	oversized := s.file.Oversized(s.store)
-	instances, changed := s.contacts.encodeIfChanged(now)
+	instances, changed := s.knownInstances.encodeIfChanged(now)
 	s.mutex.Unlock()
 
 	err := s.save(batches, oversized)
@@ -212,7 +212,7 @@
 		return err
 	}
 
-	return wal.ReplaceFile(wal.WithoutModes(), s.directory, contactsFile, framed)
+	return wal.ReplaceFile(wal.WithoutModes(), s.directory, instancesFile, framed)
 }
 
 // reset closes the file and clears the stored checkpoints until the disk can be
@@ -226,7 +226,7 @@
 	}
 
 	s.file = nil
-	s.contacts.changed = true
+	s.knownInstances.changed = true
 	s.store.Flush()
 }
 
@@ -268,7 +268,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	s.contacts.recordPoll(now, instance)
+	s.knownInstances.recordPoll(now, instance)
 
 	if agent != nil {
 		s.store.MarkSeen(now, agent.Address)
--- a/internal/program/registry/knowninstances_internal_test.go
+++ b/internal/program/registry/knowninstances_internal_test.go
@@ -19,11 +19,11 @@
 // silent ones more often than the interval allows, and never forgetting them.
 func TestContacts(t *testing.T) {
 	is := is.New(t)
-	c := newContacts()
+	c := newKnownInstances()
 	c.recordPoll(startTime, instance1)
-	is.Equal(len(c.dueNotifications(startTime.Add(contactSilenceTimeout))), 0)
+	is.Equal(len(c.dueNotifications(startTime.Add(silenceTimeout))), 0)
 
-	later := startTime.Add(contactSilenceTimeout + 1)
+	later := startTime.Add(silenceTimeout + 1)
 	is.Equal(c.dueNotifications(later), []flow.Endpoint{instance1})
 	is.Equal(len(c.dueNotifications(later.Add(notifyInterval-1))), 0)
 	is.Equal(c.dueNotifications(later.Add(notifyInterval)), []flow.Endpoint{instance1})
@@ -31,7 +31,7 @@
 	c.recordPoll(later.Add(time.Second), instance1)
 	is.Equal(len(c.dueNotifications(later.Add(time.Second+notifyInterval))), 0)
 
-	is.Equal(len(c.dueNotifications(later.Add(time.Second+contactTTL+1))), 0)
+	is.Equal(len(c.dueNotifications(later.Add(time.Second+knownInstanceTTL+1))), 0)
 	is.Equal(len(c.known), 0)
 }
 
@@ -39,7 +39,7 @@
 // restarted controller that does not notify the instances it knew before.
 func TestContactsSaved(t *testing.T) {
 	is := is.New(t)
-	c := newContacts()
+	c := newKnownInstances()
 	c.recordPoll(startTime, instance1)
 	c.recordPoll(startTime, instance2)
 
@@ -50,7 +50,7 @@
 	_, changed = c.encodeIfChanged(startTime.Add(time.Minute))
 	is.True(!changed)
 
-	restarted := newContacts()
+	restarted := newKnownInstances()
 	restarted.recordPoll(startTime, instance2)
 	restarted.restore(startTime, saved)
 	is.Equal(restarted.dueNotifications(startTime), []flow.Endpoint{instance1}) // instance2 has polled already
--- a/internal/program/registry/members.go
+++ b/internal/program/registry/members.go
@@ -247,7 +247,7 @@
 // handleJoinRequest adds a replica to the group if this one leads, and tells it
 // which controllers it can ask.
 func (o *owner) handleJoinRequest(from netip.AddrPort, body []byte) error {
-	enter, err := wire.Decode[wire.Join](body)
+	request, err := wire.Decode[wire.Join](body)
 	if err != nil || o.node == nil {
 		return err
 	}
@@ -256,7 +256,7 @@
 	reply := wire.JoinReply{Controllers: endpoints(status.Members)}
 
 	if status.Role == raft.Leader {
-		id := wal.ReplicaID(enter.Replica)
+		id := wal.ReplicaID(request.Replica)
 
 		if !slices.ContainsFunc(status.Members, func(m raft.MemberStatus) bool { return m.ID == id }) {
 			if _, _, err := o.node.ChangeMembership(raft.Change{
--- a/internal/program/registry/operate.go
+++ b/internal/program/registry/operate.go
@@ -23,7 +23,7 @@
 	err      *Error
 }
 
-// proposal is a caller that waits until its entry is applied.
+// proposal is a proposed entry whose caller waits until it is applied.
 type proposal struct {
 	term       uint64
 	proposedAt time.Time
@@ -75,9 +75,9 @@
 			fmt.Errorf("%d bytes, at most %d are allowed", len(document), MaxDocumentBytes))
 	}
 
-	interpreted, err := r.interpret(document)
+	decoded, err := r.decodeDocument(document)
 	if err == nil {
-		err = interpreted.Check()
+		err = decoded.Check()
 	}
 
 	if err != nil {
--- a/internal/program/registry/owner.go
+++ b/internal/program/registry/owner.go
@@ -46,8 +46,8 @@
 	replicaDirectory = "replica"
 )
 
-// owner holds the replicated log. Only its own goroutine uses it, and may block
-// on the disk.
+// owner is the event loop that holds the replicated log. Only its own goroutine
+// uses it, and may block on the disk.
 type owner struct {
 	*Registry
 
@@ -307,12 +307,12 @@
 		return err
 	}
 
-	interpreted, err := o.interpret(document)
+	decoded, err := o.decodeDocument(document)
 	if err != nil {
 		return err
 	}
 
-	encoded, err := interpreted.Encode()
+	encoded, err := decoded.Encode()
 	if err != nil {
 		return err
 	}
--- a/internal/program/registry/registry.go
+++ b/internal/program/registry/registry.go
@@ -3,21 +3,22 @@
 //
 // # Usage
 //
-//	process, err := registry.New(settings, interpret, logger)
+//	process, err := registry.New(settings, decode, logger)
 //	version, err := process.Submit(ctx, version, document)
 //	version, document, err := process.Newest(ctx)
 //	err = process.Run(ctx)
 //
 // # Structure
 //
-// One goroutine, the owner, holds the replicated log and the catalog. It may block
-// on the disk. Polls of instances are answered from the state that the owner has
-// published, so they don't wait for it. The list of agents is soft state that
-// each controller builds from the polls.
+// One goroutine, the owner, runs the event loop and holds the replicated log and the
+// catalog. It may block on the disk. Polls of instances are answered from the state
+// that the owner has published, so they don't wait for it. The list of agents is
+// soft state that each controller builds from the polls.
 //
 // Unlike package controller, a registry needs no keys, forms a group from
 // addresses alone, and replaces members by itself: deployments of
-// pass-through services have no operator who does that.
+// pass-through services, which don't terminate QUIC, have no operator who does
+// that.
 package registry
 
 import (
@@ -101,7 +102,7 @@
 // Registry is one controller.
 type Registry struct {
 	settings        Settings
-	interpret       Interpret
+	decodeDocument  Interpret
 	logger          *slog.Logger
 	self            flow.Endpoint
 	conn            *frag.Conn
@@ -158,7 +159,7 @@
 	}
 
 	r := &Registry{
-		settings: settings, interpret: interpret, logger: logger, self: self, conn: conn, started: time.Now(),
+		settings: settings, decodeDocument: interpret, logger: logger, self: self, conn: conn, started: time.Now(),
 		events: make(chan event, maxPendingEvents), acceptLatency: latency.New(),
 		agents: roster.New(rand.Uint64() | 1), pollers: make(map[netip.AddrPort]*poller),
 	}
@@ -223,7 +224,7 @@
 }
 
 // transferTimeout is how long a leader that stops waits for its successor: two
-// elections.
+// election timeouts.
 const transferTimeout = 800 * time.Millisecond
 
 func (r *Registry) transferLeadership() {
--- a/internal/program/registry/serve.go
+++ b/internal/program/registry/serve.go
@@ -30,10 +30,11 @@
 	maxRepeats = 10
 )
 
-// poller is the state of an instance that polls.
+// poller is the state of an instance that polls. Unlike knownInstances, pollers
+// are not stored; they hold the version that each instance has.
 type poller struct {
 	lastPoll     time.Time
-	follows      bool
+	wantsAgents  bool   // wants the list of agents
 	version      uint64 // of the document that it has
 	lastNotified time.Time
 	repeats      int
@@ -88,7 +89,7 @@
 	r.checkpoints.recordPoll(now, from, poll.Agent)
 
 	known.lastPoll, known.version = now, poll.Version
-	known.follows = known.follows || poll.WantsAgents
+	known.wantsAgents = known.wantsAgents || poll.WantsAgents
 
 	if poll.Agent == nil {
 		return false
@@ -165,7 +166,7 @@
 // notifyFollowers notifies the instances that follow the list of agents of a
 // change.
 func (r *Registry) notifyFollowers(now time.Time) {
-	r.notify(now, func(p *poller) bool { return p.follows && now.Sub(p.lastNotified) >= minNotifyInterval })
+	r.notify(now, func(p *poller) bool { return p.wantsAgents && now.Sub(p.lastNotified) >= minNotifyInterval })
 }
 
 // notifyDocument notifies all instances of a new document, and repeats this for
--- a/internal/program/registry/serve_test.go
+++ b/internal/program/registry/serve_test.go
@@ -23,7 +23,9 @@
 		return instance.request(c.address(1), message, wire.KindPollReply)
 	}
 
-	c.eventually("an older document is answered", func() bool { return poll(wire.Poll{OnlyIfNewer: true, Version: 4}) != nil })
+	c.eventually("an older document is answered", func() bool {
+		return poll(wire.Poll{OnlyIfNewer: true, Version: 4}) != nil
+	})
 
 	for range 5 {
 		c.is.Equal(poll(wire.Poll{OnlyIfNewer: true, Version: 5}), nil)
