--- a/internal/program/agent/admitter_test.go
+++ b/internal/program/agent/admitter_test.go
@@ -25,10 +25,10 @@
 	})
 }
 
-// startGate runs a gate and returns a function that stops it.
-func startGate(slots int) (*gate, func()) {
+// startAdmitter runs an admitter and returns a function that stops it.
+func startAdmitter(slots int) (*admitter, func()) {
 	ctx, stop := context.WithCancel(context.Background())
-	g := newGate(testPolicy(slots))
+	g := newAdmitter(testPolicy(slots))
 
 	var group conc.WaitGroup
 
@@ -39,13 +39,13 @@
 
 func testDeadline() time.Time { return time.Now().Add(2 * time.Second) }
 
-func TestGate(t *testing.T) {
+func TestAdmitter(t *testing.T) {
 	// Guards against more requests at a backend server than it has slots, and
 	// against slots that stay taken after a caller has given up.
 	t.Run("slots", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			g, stop := startGate(2)
+			g, stop := startAdmitter(2)
 			defer stop()
 
 			var group conc.WaitGroup
@@ -72,11 +72,11 @@
 	})
 
 	// Guards against a shutdown that never finishes: closing an answer or applying
-	// a view after the gate had stopped used to wait for the gate forever.
+	// a view after the admitter had stopped used to wait for it forever.
 	t.Run("after stop", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			g, stop := startGate(1)
+			g, stop := startAdmitter(1)
 			granted, _ := g.acquire(t.Context(), alert.Name, testDeadline())
 			is.True(granted != nil)
 			stop()
--- a/internal/program/agent/agent.go
+++ b/internal/program/agent/agent.go
@@ -1,6 +1,7 @@
 // Package agent implements the process that runs beside each backend server. It
-// terminates the QUIC sessions of callers, admits their requests, and forwards
-// them to its backend server or to a sibling agent.
+// terminates the QUIC connections of callers, admits their requests, and forwards
+// them to its backend server or to a sibling agent. A flow is the QUIC connection
+// of a caller.
 //
 // # Usage
 //
@@ -60,7 +61,7 @@
 	logger     *slog.Logger
 	member     *member.Member
 	serviceKey *identity.PrivateKey
-	gate       *gate
+	admitter   *admitter
 	backend    *backendServer
 	local      *localRunner
 	siblings   *siblings
@@ -96,13 +97,13 @@
 		telemetry:  observed,
 		logger:     observed.Logger(),
 		serviceKey: key,
-		gate:       newGate(admission.Policy{Slots: 1}),
+		admitter:   newAdmitter(admission.Policy{Slots: 1}),
 		backend:    newBackendServer(config.Backend, config.HealthPath, config.BackendResponseTimeout),
 		siblings:   newSiblings(store, config.Instance.Environment, rand.New(rand.NewPCG(random.Uint64(), 0))),
 	}
 	a.matcher.Store(document.NewMatcher(nil))
 	a.classes.Store(&map[string]view.Class{})
-	a.local = &localRunner{gate: a.gate, backend: a.backend}
+	a.local = &localRunner{admitter: a.admitter, backend: a.backend}
 
 	a.member = member.New(member.Options{
 		Environment: config.Instance.Environment,
@@ -197,7 +198,7 @@
 
 	a.classes.Store(&classes)
 	a.matcher.Store(document.NewMatcher(service.Classes))
-	a.gate.reconfigure(context.Background(), admission.PolicyOf(service))
+	a.admitter.reconfigure(context.Background(), admission.PolicyOf(service))
 
 	agents := current.AgentsOf(service.ID)
 	a.placer.update(agents)
@@ -245,7 +246,7 @@
 	defer stop()
 
 	for _, component := range []func(context.Context){
-		a.gate.run, a.member.Run, a.claims.run,
+		a.admitter.run, a.member.Run, a.claims.run,
 		func(ctx context.Context) { a.backend.watchHealth(ctx, a.logHealthChange) },
 	} {
 		components.Go(func() { component(componentsCtx) })
@@ -310,7 +311,7 @@
 	return errors.Trace(transport.Close())
 }
 
-// listen opens the transport that terminates sessions. Stateless resets and retry
+// listen opens the transport that terminates flows. Stateless resets and retry
 // tokens use keys that all agents of the environment share.
 func (a *Agent) listen(current *view.View) (*quic.Listener, *quic.Transport, error) {
 	service, ok := current.ServiceByName(a.config.Service)
@@ -318,10 +319,10 @@
 		return nil, nil, newError("listen", KindSetup, errors.Errorf("service %q is not in the document", a.config.Service))
 	}
 
-	engine := forward.NewAgent(a.member.Incarnation(), service.ID)
-	publishCounters(engine)
+	dataPath := forward.NewAgent(a.member.Incarnation(), service.ID)
+	publishCounters(dataPath)
 
-	conn, err := newPacketConn(a.config.Data, engine, a.logger)
+	conn, err := newPacketConn(a.config.Data, dataPath, a.logger)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/program/agent/call.go
+++ b/internal/program/agent/call.go
@@ -38,12 +38,13 @@
 	outcomeReplayed = "replayed"
 )
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders are the headers that concern one connection only (RFC 9110,
+// section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Te", "Trailer", "Upgrade",
 }
 
-// call is one request of a caller, independent of the session it arrived on.
+// call is one request of a caller, independent of the flow it arrived on.
 type call struct {
 	class    view.Class
 	method   string
@@ -115,7 +116,7 @@
 		}
 	}
 
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		kept.Del(name)
 	}
 
--- a/internal/program/agent/claims.go
+++ b/internal/program/agent/claims.go
@@ -39,7 +39,8 @@
 	housekeepingInterval = 200 * time.Millisecond
 )
 
-// rpcClient calls methods of another agent.
+// rpcClient is the part of link.Client that claims need to call methods of another
+// agent.
 type rpcClient interface {
 	Call(ctx context.Context, method string, request, reply any) error
 }
--- a/internal/program/agent/claims_test.go
+++ b/internal/program/agent/claims_test.go
@@ -192,7 +192,7 @@
 	case *transferPart:
 		_, err = target.answerTransfer(ctx, *message)
 	case *movedSeat:
-		target.answerMoved(ctx, *message)
+		target.recordMove(ctx, *message)
 	default:
 		*reply.(*historyReply) = *target.answerHistory(ctx, *request.(*historyRequest))
 	}
--- a/internal/program/agent/counters.go
+++ b/internal/program/agent/counters.go
@@ -9,13 +9,13 @@
 // The counters under /debug/vars. Their keys come from fixed sets, so that the
 // maps stay small whatever callers and siblings send.
 var (
-	outcomes     = expvar.NewMap("agent_requests")     // by class and outcome
-	refusals     = expvar.NewMap("agent_refusals")     // not run, by cause
-	unknowns     = expvar.NewMap("agent_unknowns")     // may have run, by cause
-	retries      = expvar.NewMap("agent_retries")      // by the reason that allowed or denied one
-	redirections = expvar.NewMap("agent_redirections") // requests placed on siblings, by outcome
-	feedEvents   = expvar.NewMap("agent_feeds")        // openings, resumptions, moves and failures
-	claimResults = expvar.NewMap("agent_claims")       // by verdict
+	outcomes        = expvar.NewMap("agent_requests")     // by class and outcome
+	refusals        = expvar.NewMap("agent_refusals")     // not run, by cause
+	unknowns        = expvar.NewMap("agent_unknowns")     // may have run, by cause
+	retries         = expvar.NewMap("agent_retries")      // by the reason that allowed or denied one
+	siblingRequests = expvar.NewMap("agent_redirections") // requests placed on siblings, by outcome
+	feedEvents      = expvar.NewMap("agent_feeds")        // openings, resumptions, moves and failures
+	claimResults    = expvar.NewMap("agent_claims")       // by verdict
 )
 
 // cause is the short form of a reason. It is the key of a counter.
--- a/internal/program/agent/drain.go
+++ b/internal/program/agent/drain.go
@@ -19,7 +19,7 @@
 func (a *Agent) drain(ctx context.Context, listener *quic.Listener) {
 	a.logger.Info("draining")
 	a.telemetry.SetReady(false)
-	a.gate.drain(ctx)
+	a.admitter.drain(ctx)
 	a.leave(ctx, control.PhaseDraining)
 	a.waitDraining(ctx)
 	a.feeds.drain()
@@ -101,7 +101,7 @@
 	defer cancel()
 
 	for {
-		current := a.gate.occupancy(limitedCtx)
+		current := a.admitter.occupancy(limitedCtx)
 		if current.running == 0 && current.feeds == 0 && current.waiting == 0 {
 			return
 		}
--- a/internal/program/agent/feeds.go
+++ b/internal/program/agent/feeds.go
@@ -30,7 +30,8 @@
 	resumeTimeout = 2 * time.Second
 )
 
-// feeds keeps the feeds of callers open while backend servers come and go.
+// feeds keeps the feeds of callers open while backend servers come and go. A feed
+// is a response of server-sent events that stays open.
 type feeds struct {
 	placer  *placer
 	logger  *slog.Logger
--- a/internal/program/agent/handover_test.go
+++ b/internal/program/agent/handover_test.go
@@ -23,10 +23,10 @@
 func newLocal(t *testing.T, address string) *localRunner {
 	t.Helper()
 
-	g, stop := startGate(1)
+	g, stop := startAdmitter(1)
 	t.Cleanup(stop)
 
-	return &localRunner{gate: g, backend: newBackendServer(netip.MustParseAddrPort(address), "", 0)}
+	return &localRunner{admitter: g, backend: newBackendServer(netip.MustParseAddrPort(address), "", 0)}
 }
 
 func newTestCall(class view.Class, method string) *call {
@@ -49,7 +49,7 @@
 
 func assertIdle(t *testing.T, l *localRunner) {
 	t.Helper()
-	is.New(t).Equal(l.gate.occupancy(t.Context()), occupancy{})
+	is.New(t).Equal(l.admitter.occupancy(t.Context()), occupancy{})
 }
 
 // serveRaw passes each accepted connection to a handler, with its number.
--- a/internal/program/agent/local.go
+++ b/internal/program/agent/local.go
@@ -33,15 +33,15 @@
 
 func (r *result) mayHaveRun() bool { return r.state != peer.NotRun }
 
-// runner runs a call on the own backend server or on that of a sibling.
+// runner runs a call on the agent's own backend server or on that of a sibling.
 type runner interface {
 	run(ctx context.Context, c *call) *result
 }
 
 // localRunner runs calls on the agent's own backend server.
 type localRunner struct {
-	gate    *gate
-	backend *backendServer
+	admitter *admitter
+	backend  *backendServer
 }
 
 // run waits for a slot and sends the call to the backend server. The slot is
@@ -55,7 +55,7 @@
 	waitCtx, cancel := context.WithDeadline(ctx, c.startDeadline())
 	defer cancel()
 
-	granted, reason := l.gate.acquire(waitCtx, c.class.Name, c.deadline)
+	granted, reason := l.admitter.acquire(waitCtx, c.class.Name, c.deadline)
 	if granted == nil {
 		return notRun(cause(reason), string(reason))
 	}
--- a/internal/program/agent/packetconn.go
+++ b/internal/program/agent/packetconn.go
@@ -27,7 +27,7 @@
 // through balancers.
 type packetConn struct {
 	*net.UDPConn
-	engine      *forward.Agent
+	dataPath    *forward.Agent
 	logger      *slog.Logger
 	framePool   sync.Pool // *[maxDatagramBytes]byte
 	readMutex   sync.Mutex
@@ -35,7 +35,7 @@
 	callerAddrs map[netip.AddrPort]*net.UDPAddr // guarded by readMutex, avoids an allocation for most datagrams
 }
 
-func newPacketConn(address netip.AddrPort, engine *forward.Agent, logger *slog.Logger) (*packetConn, error) {
+func newPacketConn(address netip.AddrPort, dataPath *forward.Agent, logger *slog.Logger) (*packetConn, error) {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, newError("listen for balancers", KindSetup, err)
@@ -46,14 +46,14 @@
 	_ = socket.SetWriteBuffer(socketBufferBytes)
 
 	return &packetConn{
-		UDPConn: socket, engine: engine, logger: logger,
+		UDPConn: socket, dataPath: dataPath, logger: logger,
 		framePool:   sync.Pool{New: func() any { return new([maxDatagramBytes]byte) }},
 		callerAddrs: make(map[netip.AddrPort]*net.UDPAddr),
 	}, nil
 }
 
 // update applies keys and balancers of a view.
-func (c *packetConn) update(current *view.View) error { return errors.Trace(c.engine.Apply(current)) }
+func (c *packetConn) update(current *view.View) error { return errors.Trace(c.dataPath.Apply(current)) }
 
 // ReadFrom returns the payload of the next datagram for this incarnation and
 // the address of its caller.
@@ -71,7 +71,7 @@
 
 		source := netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 
-		switch decision := c.engine.Receive(time.Now(), received[:n], source); decision.Action {
+		switch decision := c.dataPath.Receive(time.Now(), received[:n], source); decision.Action {
 		case forward.Deliver:
 			payload := received[datagram.HeaderLength:n]
 
@@ -102,7 +102,7 @@
 func (c *packetConn) sendNotice(header *datagram.Header, to netip.AddrPort) {
 	var notice [datagram.HeaderLength]byte
 
-	c.engine.Seal(notice[:], header)
+	c.dataPath.Seal(notice[:], header)
 
 	if _, err := c.WriteToUDPAddrPort(notice[:], to); err != nil {
 		c.logger.Debug("could not send the notice", "to", to.String(), "error", err)
@@ -120,7 +120,7 @@
 
 	to := netip.AddrPortFrom(address.AddrPort().Addr().Unmap(), address.AddrPort().Port())
 
-	header, balancer, ok := c.engine.Reply(time.Now(), to)
+	header, balancer, ok := c.dataPath.Reply(time.Now(), to)
 	if !ok {
 		return len(payload), nil
 	}
@@ -128,7 +128,7 @@
 	framed := c.framePool.Get().(*[maxDatagramBytes]byte)
 	defer c.framePool.Put(framed)
 
-	c.engine.Seal(framed[:], &header)
+	c.dataPath.Seal(framed[:], &header)
 	n := copy(framed[datagram.HeaderLength:], payload)
 
 	if _, err := c.WriteToUDPAddrPort(framed[:datagram.HeaderLength+n], balancer); err != nil {
@@ -139,9 +139,9 @@
 }
 
 // publishCounters shows the decisions by reason under /debug/vars.
-func publishCounters(engine *forward.Agent) {
+func publishCounters(dataPath *forward.Agent) {
 	telemetry.Publish("agent_datagrams", func() any {
-		counts := engine.Counts()
+		counts := dataPath.Counts()
 		byReason := make(map[string]uint64, len(counts))
 
 		for reason, count := range counts {
--- a/internal/program/agent/placer.go
+++ b/internal/program/agent/placer.go
@@ -80,13 +80,13 @@
 	)
 
 	for number := 1; ; number++ {
-		target, destination, ok := p.pick(tried)
+		incarnation, chosen, ok := p.pick(tried)
 		if !ok {
 			return combineOutcomes(uncertain, notRun(causeNoBackend, "no backend server takes new work"))
 		}
 
-		tried = append(tried, target)
-		outcome := combineOutcomes(uncertain, p.attempt(ctx, c, target, destination))
+		tried = append(tried, incarnation)
+		outcome := combineOutcomes(uncertain, p.attempt(ctx, c, incarnation, chosen))
 
 		if outcome.state == peer.Unknown {
 			uncertain = outcome
@@ -133,20 +133,20 @@
 
 	now := time.Now()
 
-	target, ok := p.picker.Pick(now, tried...)
+	incarnation, ok := p.picker.Pick(now, tried...)
 	if !ok {
-		target, ok = p.picker.Pick(now)
+		incarnation, ok = p.picker.Pick(now)
 	}
 
 	if !ok {
 		return 0, nil, false
 	}
 
-	if target == p.self() {
-		return target, p.local, true
+	if incarnation == p.self() {
+		return incarnation, p.local, true
 	}
 
-	return target, p.siblingRunner(p.agents[target]), true
+	return incarnation, p.siblingRunner(p.agents[incarnation]), true
 }
 
 func (p *placer) attempt(ctx context.Context, c *call, target view.Incarnation, destination runner) *result {
@@ -158,7 +158,7 @@
 
 	outcome := destination.run(ctx, c)
 	if target != p.self() {
-		redirections.Add(outcome.state.String(), 1)
+		siblingRequests.Add(outcome.state.String(), 1)
 	}
 
 	span.SetAttributes(attribute.String("outcome", outcome.state.String()), attribute.String("reason", outcome.reason))
--- a/internal/program/agent/seats.go
+++ b/internal/program/agent/seats.go
@@ -130,7 +130,7 @@
 		}
 	}
 
-	// Unless the own view contains the agent, siblings may not know of it.
+	// Unless the agent's own view contains the agent, siblings may not know of it.
 	if _, ok := c.agents[c.self()]; !ok {
 		return
 	}
@@ -189,7 +189,7 @@
 	}
 }
 
-// canBootstrap reports whether the own view allows the agent to start claiming for
+// canBootstrap reports whether the agent's own view allows it to start claiming for
 // a new service: the view is not older than any that a sibling has reported, and
 // it has enough agents, or bootstrapTimeout has passed.
 func (c *claims) canBootstrap(now time.Time, position view.Position) bool {
@@ -297,12 +297,12 @@
 		return nil, err
 	}
 
-	c.answerMoved(ctx, moved)
+	c.recordMove(ctx, moved)
 
 	return &emptyReply{}, nil
 }
 
-func (c *claims) answerMoved(ctx context.Context, moved movedSeat) {
+func (c *claims) recordMove(ctx context.Context, moved movedSeat) {
 	c.do(ctx, func(time.Time) { c.history.Move(moved.Seat, moved.Successor) })
 }
 
--- a/internal/program/agent/session.go
+++ b/internal/program/agent/session.go
@@ -44,8 +44,7 @@
 }
 
 // traceSession records the span of the handshake. The span ends with the handshake,
-// because a span is written only at its end and a flow stays open for a whole
-// work shift.
+// because a span is written only at its end and a flow stays open for hours.
 func traceSession(ctx context.Context, tracer trace.Tracer, caller string) {
 	found := sessionOf(ctx)
 	if found == nil {
--- a/internal/program/agent/settings.go
+++ b/internal/program/agent/settings.go
@@ -27,7 +27,7 @@
 	HealthPath             string         `yaml:"health_path" validate:"omitempty,startswith=/"`
 	DrainTimeout           time.Duration  `yaml:"drain_timeout" validate:"min=1s,max=24h"`
 	MaxClaims              int            `yaml:"claims_at_most" validate:"min=0,max=60000"` // 0 means the default
-	BackendResponseTimeout time.Duration  `yaml:"backend_silence" validate:"min=0,max=10m"`  // 0 means the default
+	BackendResponseTimeout time.Duration  `yaml:"backend_silence" validate:"min=0,max=10m"`  // 0: no limit
 }
 
 // CertificateFiles names the certificate that callers see and its key.
