--- a/internal/program/controller/client.go
+++ b/internal/program/controller/client.go
@@ -11,7 +11,8 @@
 // calls of instances. It follows redirects to the leader. All calls except
 // RotateKey are idempotent. If their outcome is unknown, because the controller
 // stopped or the path no longer delivers packets, the client retries them until
-// ctx ends.
+// ctx ends. A repeated RotateKey draws a new secret and, if the first one was
+// applied, is refused with KindConflict, so the client does not retry it.
 type Client struct{ link *link.Client }
 
 // NewClient returns a client of the group at the other end of a link.
--- a/internal/program/controller/controller.go
+++ b/internal/program/controller/controller.go
@@ -14,7 +14,7 @@
 //
 // One goroutine, the owner, holds the replicated log, the catalog and the
 // lease tables. Link handlers send it events through one bounded channel and
-// wait for a typed reply. Only the leader answers commands and reads; every
+// wait for the reply. Only the leader answers commands and reads; every
 // other controller answers with a redirect. The publishers serve subscribers
 // without involving the owner.
 //
@@ -245,7 +245,7 @@
 		leases:             make(map[string]*lease.Table),
 		publishers:         c.publishers,
 		network:            c.network,
-		inbox:              c.inbox,
+		events:             c.inbox,
 		proposals:          make(map[uint64]*proposal),
 		reads:              make(map[uint64]*readIndex),
 	}
--- a/internal/program/controller/event.go
+++ b/internal/program/controller/event.go
@@ -26,13 +26,13 @@
 	reply chan proposalResult
 }
 
-// command is the event that appends a command to the log.
-type command struct {
+// proposeCommand is the event that appends a command to the log.
+type proposeCommand struct {
 	command catalog.Command
 	reply   chan proposalResult
 }
 
-func (c *command) handle(o *owner, now time.Time) { o.propose(now, c.command, c.reply) }
+func (c *proposeCommand) handle(o *owner, now time.Time) { o.propose(now, c.command, c.reply) }
 
 // readIndex is the event that requests a linearizable read.
 type readIndex struct {
@@ -50,14 +50,14 @@
 		return
 	}
 
-	o.nextRead++
-	if err := o.node.ReadIndex(o.nextRead); err != nil {
+	o.lastReadID++
+	if err := o.node.ReadIndex(o.lastReadID); err != nil {
 		r.onError(o.linkError(err))
 
 		return
 	}
 
-	o.reads[o.nextRead] = r
+	o.reads[o.lastReadID] = r
 }
 
 // answerReads completes the reads that the log has confirmed, and fails those
@@ -109,7 +109,7 @@
 }
 
 func (c *confirmApplied) handle(o *owner, _ time.Time) {
-	ok := o.applied >= c.index
+	ok := o.appliedIndex >= c.index
 	if ok {
 		o.confirm(c.at)
 	}
--- a/internal/program/controller/join.go
+++ b/internal/program/controller/join.go
@@ -68,12 +68,12 @@
 			}
 
 			if reply.Cluster != 0 {
-				return newError("found", KindGroup, errors.Errorf(
+				return newError("create group", KindGroup, errors.Errorf(
 					"peer %s belongs to group %016x: start without bootstrap to join it", peer, reply.Cluster))
 			}
 
 			if reply.Founding {
-				return newError("found", KindGroup, errors.Errorf(
+				return newError("create group", KindGroup, errors.Errorf(
 					"peer %s has bootstrap set too: set it on exactly one controller", peer))
 			}
 
@@ -202,7 +202,7 @@
 }
 
 func (c *createGroup) create(o *owner, now time.Time) error {
-	owners, err := c.settings.foundingOwners()
+	owners, err := c.settings.initialOwners()
 	if err != nil {
 		return err
 	}
@@ -218,14 +218,14 @@
 
 	state := &catalog.Catalog{}
 	if err := state.Restore(stored.Snapshot.Data); err != nil {
-		return newError("found", KindStorage, err)
+		return newError("create group", KindStorage, err)
 	}
 
 	id := state.Cluster()
 	cluster := wal.ClusterID(binary.BigEndian.Uint64(id[:]))
 
 	if err := o.log.Join(cluster, firstGeneration); err != nil {
-		return newError("found", KindStorage, err)
+		return newError("create group", KindStorage, err)
 	}
 
 	o.logger.Info("created a controller group", "cluster", cluster.String())
@@ -235,24 +235,24 @@
 
 // createSnapshot saves and returns the initial snapshot of a new group.
 func (c *createGroup) createSnapshot(o *owner, owners [2]catalog.Owner) (raft.Snapshot, error) {
-	founding := catalog.Founding{Generation: firstGeneration, Owners: owners}
-	rand.Read(founding.Cluster[:])
+	initial := catalog.Founding{Generation: firstGeneration, Owners: owners}
+	rand.Read(initial.Cluster[:])
 
-	state, err := catalog.New(founding)
+	state, err := catalog.New(initial)
 	if err != nil {
-		return raft.Snapshot{}, newError("found", KindSettings, err)
+		return raft.Snapshot{}, newError("create group", KindSettings, err)
 	}
 
 	data, err := state.Snapshot()
 	if err != nil {
-		return raft.Snapshot{}, newError("found", KindLog, err)
+		return raft.Snapshot{}, newError("create group", KindLog, err)
 	}
 
 	self := raft.Member{ID: o.log.Identity().Replica, Address: o.address.String()}
 	snapshot := raft.Bootstrap([]raft.Member{self}, data)
 
 	if err := o.log.SaveSnapshot(&snapshot); err != nil {
-		return raft.Snapshot{}, newError("found", KindStorage, err)
+		return raft.Snapshot{}, newError("create group", KindStorage, err)
 	}
 
 	return snapshot, nil
--- a/internal/program/controller/lead.go
+++ b/internal/program/controller/lead.go
@@ -27,14 +27,15 @@
 	purgeInterval = 10 * time.Minute
 )
 
-// leaderTasks records when the leader last ran each of its periodic tasks.
+// leaderTasks records when the leader last ran each of its periodic tasks, and
+// which of its requests are under way.
 type leaderTasks struct {
 	lastConfirm   time.Time
 	lastRamp      time.Time
 	lastReconcile time.Time
 	lastPurge     time.Time
-	keyProposed   map[string]bool
-	confirming    bool
+	keyProposed   map[string]bool // environments whose first key was proposed
+	confirming    bool            // a request for a confirmation is pending
 }
 
 // runLeaderTasks detects changes of leadership and runs the periodic tasks of the
--- a/internal/program/controller/members.go
+++ b/internal/program/controller/members.go
@@ -99,6 +99,7 @@
 
 func (l *listMembers) handle(o *owner, _ time.Time) { l.reply <- o.members() }
 
+// members lists the group. Leader is the name of the controller that answers.
 func (o *owner) members() control.MembersReply {
 	reply := control.MembersReply{Leader: o.name, Founding: o.bootstrap && o.node == nil}
 	if o.node == nil {
--- a/internal/program/controller/network.go
+++ b/internal/program/controller/network.go
@@ -126,7 +126,7 @@
 
 // send queues messages for their recipients. It drops messages instead of
 // waiting for a full queue.
-func (n *network) send(from raft.ReplicaID, listen netip.AddrPort, list []raft.Message) {
+func (n *network) send(from raft.ReplicaID, ownAddress netip.AddrPort, messages []raft.Message) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 
@@ -134,7 +134,7 @@
 		return
 	}
 
-	for _, message := range list {
+	for _, message := range messages {
 		address, ok := n.addresses[message.To]
 		if !ok {
 			continue
@@ -142,7 +142,7 @@
 
 		target, ok := n.senders[message.To]
 		if !ok {
-			target = n.startSender(from, listen, address)
+			target = n.startSender(from, ownAddress, address)
 			n.senders[message.To] = target
 		}
 
@@ -153,7 +153,7 @@
 	}
 }
 
-func (n *network) startSender(from raft.ReplicaID, listen, to netip.AddrPort) *sender {
+func (n *network) startSender(from raft.ReplicaID, ownAddress, to netip.AddrPort) *sender {
 	ctx, cancel := context.WithCancel(context.Background())
 	started := &sender{client: n.dialLocked(to), cancel: cancel, queue: make(chan raft.Message, queueSize)}
 
@@ -164,7 +164,7 @@
 			select {
 			case first := <-started.queue:
 				n.deliver(ctx, started, control.Replicate{
-					Replica: uint64(from), Address: listen, Messages: started.encodeBatch(first, n.logger),
+					Replica: uint64(from), Address: ownAddress, Messages: started.encodeBatch(first, n.logger),
 				})
 			case <-ctx.Done():
 			}
--- a/internal/program/controller/owner.go
+++ b/internal/program/controller/owner.go
@@ -39,7 +39,8 @@
 // event is a request that the owner handles in its goroutine.
 type event interface{ handle(o *owner, now time.Time) }
 
-// owner holds the control state. Only its goroutine uses it.
+// owner is the event loop that holds the control state. Only its goroutine uses
+// it. It is unrelated to catalog.Owner, a person.
 type owner struct {
 	name       string
 	address    netip.AddrPort
@@ -52,12 +53,12 @@
 	leases     map[string]*lease.Table
 	publishers map[string]*rollout.Publisher
 	network    *network
-	inbox      <-chan event
+	events     <-chan event
 
 	proposals     map[uint64]*proposal // by log index
 	reads         map[uint64]*readIndex
-	nextRead      uint64
-	applied       uint64
+	lastReadID    uint64
+	appliedIndex  uint64
 	snapshotIndex uint64 // index of the last snapshot
 	// entriesPerSnapshot is the number of entries between two snapshots.
 	entriesPerSnapshot uint64
@@ -77,7 +78,7 @@
 
 	for {
 		select {
-		case next := <-o.inbox:
+		case next := <-o.events:
 			o.handleBatch(time.Now(), next)
 		case now := <-ticker.C:
 			o.tick(now)
@@ -99,7 +100,7 @@
 
 	for range maxBatchEvents {
 		select {
-		case next := <-o.inbox:
+		case next := <-o.events:
 			next.handle(o, now)
 		default:
 			return
@@ -114,7 +115,7 @@
 			return newError("restore", KindStorage, err)
 		}
 
-		o.applied, o.snapshotIndex = stored.Snapshot.Index, stored.Snapshot.Index
+		o.appliedIndex, o.snapshotIndex = stored.Snapshot.Index, stored.Snapshot.Index
 		o.publish(now)
 	}
 
@@ -188,7 +189,7 @@
 			return newError("restore", KindStorage, err)
 		}
 
-		o.applied, o.snapshotIndex = ready.Snapshot.Index, ready.Snapshot.Index
+		o.appliedIndex, o.snapshotIndex = ready.Snapshot.Index, ready.Snapshot.Index
 		o.updateAddresses()
 		o.dropProposals()
 	}
@@ -207,7 +208,7 @@
 // apply applies committed entries and replies to the callers that wait for them.
 func (o *owner) apply(now time.Time, entries []raft.Entry) {
 	for _, entry := range entries {
-		o.applied = entry.Index
+		o.appliedIndex = entry.Index
 
 		var outcome proposalResult
 
@@ -244,18 +245,18 @@
 // takeSnapshot saves a snapshot and compacts the log if enough entries have been
 // applied since the last one.
 func (o *owner) takeSnapshot() error {
-	if o.applied-o.snapshotIndex < o.entriesPerSnapshot {
+	if o.appliedIndex-o.snapshotIndex < o.entriesPerSnapshot {
 		return nil
 	}
 
 	data, err := o.state.Snapshot()
 	if err != nil {
-		return newError("capture", KindLog, err)
+		return newError("take snapshot", KindLog, err)
 	}
 
-	snapshot, err := o.node.Compact(o.applied, data)
+	snapshot, err := o.node.Compact(o.appliedIndex, data)
 	if err != nil {
-		return newError("capture", KindLog, err)
+		return newError("take snapshot", KindLog, err)
 	}
 
 	if err := o.log.SaveSnapshot(snapshot); err != nil {
@@ -266,7 +267,7 @@
 		return newError("compact", KindStorage, err)
 	}
 
-	o.snapshotIndex = o.applied
+	o.snapshotIndex = o.appliedIndex
 
 	return nil
 }
@@ -357,7 +358,8 @@
 }
 
 // dropProposals redirects all waiting callers after a snapshot has replaced
-// entries, because their results are then unknown. All commands are idempotent,
+// entries, because their results are then unknown. All commands but RotateKey
+// are idempotent, and a second RotateKey with the same rotation number is refused,
 // so the callers can retry.
 func (o *owner) dropProposals() {
 	for index, waiting := range o.proposals {
--- a/internal/program/controller/serve.go
+++ b/internal/program/controller/serve.go
@@ -86,7 +86,7 @@
 func (c *Controller) propose(ctx context.Context, proposed catalog.Command) (proposalResult, error) {
 	reply := make(chan proposalResult, 1)
 
-	outcome, err := sendEvent(ctx, c.inbox, &command{command: proposed, reply: reply}, reply)
+	outcome, err := sendEvent(ctx, c.inbox, &proposeCommand{command: proposed, reply: reply}, reply)
 	if err != nil {
 		return outcome, err
 	}
--- a/internal/program/controller/settings.go
+++ b/internal/program/controller/settings.go
@@ -68,7 +68,7 @@
 	}
 
 	if s.Bootstrap {
-		_, err := s.foundingOwners()
+		_, err := s.initialOwners()
 
 		return err
 	}
@@ -94,8 +94,8 @@
 	return peers, nil
 }
 
-// foundingOwners returns the owners that a new group starts with.
-func (s Settings) foundingOwners() ([2]catalog.Owner, error) {
+// initialOwners returns the owners that a new group starts with.
+func (s Settings) initialOwners() ([2]catalog.Owner, error) {
 	var owners [2]catalog.Owner
 
 	if len(s.Owners) != len(owners) {
