--- a/internal/program/registry/registry.go
+++ b/internal/program/registry/registry.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	process, err := registry.New(settings, decode, logger)
+//	process, err := registry.New(settings, decodeDocument, logger)
 //	version, err := process.Submit(ctx, version, document)
 //	version, document, err := process.Newest(ctx)
 //	err = process.Run(ctx)
@@ -147,7 +147,7 @@
 
 // New opens the socket. The data directory is opened by Run, because a disk may
 // hang.
-func New(settings Settings, interpret Interpret, logger *slog.Logger) (*Registry, error) {
+func New(settings Settings, decodeDocument Interpret, logger *slog.Logger) (*Registry, error) {
 	self, ok := flow.NewEndpoint(settings.ControlAddress)
 	if !ok {
 		return nil, newError("listen", KindListen, errors.New("the address is not IPv4"))
@@ -159,7 +159,7 @@
 	}
 
 	r := &Registry{
-		settings: settings, decodeDocument: interpret, logger: logger, self: self, conn: conn, started: time.Now(),
+		settings: settings, decodeDocument: decodeDocument, logger: logger, self: self, conn: conn, started: time.Now(),
 		events: make(chan event, maxPendingEvents), acceptLatency: latency.New(),
 		agents: roster.New(rand.Uint64() | 1), pollers: make(map[netip.AddrPort]*poller),
 	}
