--- a/internal/program/controller/controller.go
+++ b/internal/program/controller/controller.go
@@ -59,10 +59,9 @@
 	// publishers.
 	tickInterval = 50 * time.Millisecond
 
-	// inboxSize is the maximum number of events that wait for the owner. While
-	// the inbox is full, calls except control.MethodReplicate fail with
-	// link.KindBusy.
-	inboxSize = 1024
+	// maxPendingEvents limits the events that wait for the owner. While that many wait,
+	// calls except control.MethodReplicate fail with link.KindBusy.
+	maxPendingEvents = 1024
 
 	// shutdownTimeout limits the wait for running calls and, separately, for the
 	// transfer of leadership.
@@ -79,7 +78,7 @@
 	server          *link.Server
 	log             *wal.Log     // used by the owner only
 	initialIdentity wal.Identity // of the data directory when it was opened
-	inbox           chan event
+	events          chan event
 	publishers      map[string]*rollout.Publisher
 	network         *network
 	random          *rand.Rand
@@ -119,7 +118,7 @@
 		server:          server,
 		log:             log,
 		initialIdentity: log.Identity(),
-		inbox:           make(chan event, inboxSize),
+		events:          make(chan event, maxPendingEvents),
 		publishers:      make(map[string]*rollout.Publisher),
 		network:         newNetwork(store, random, logger),
 		random:          random,
@@ -219,7 +218,7 @@
 	done := make(chan struct{})
 
 	select {
-	case c.inbox <- &transferLeadership{done: done}:
+	case c.events <- &transferLeadership{done: done}:
 	case <-ctx.Done():
 		return
 	}
@@ -245,7 +244,7 @@
 		leases:             make(map[string]*lease.Table),
 		publishers:         c.publishers,
 		network:            c.network,
-		events:             c.inbox,
+		events:             c.events,
 		proposals:          make(map[uint64]*proposal),
 		reads:              make(map[uint64]*readIndex),
 	}
--- a/internal/program/controller/controller_test.go
+++ b/internal/program/controller/controller_test.go
@@ -146,11 +146,11 @@
 			read := make(chan control.ReadIndexReply, 1)
 			request := &readIndex{onError: func(error) { read <- control.ReadIndexReply{} }}
 			request.onConfirmed = func(*owner, time.Time) { read <- control.ReadIndexReply{Index: request.index} }
-			isolated.inbox <- request
+			isolated.events <- request
 			is.Equal((<-read).Index, uint64(0)) // no read is served
 
 			lease := make(chan renewResult, 1)
-			isolated.inbox <- &renew{request: control.Renew{Environment: catalog.Trial}, reply: lease}
+			isolated.events <- &renew{request: control.Renew{Environment: catalog.Trial}, reply: lease}
 			is.True((<-lease).err != nil) // no lease is extended
 
 			snapshot, _ := isolated.Publisher(catalog.Trial).Snapshot()
--- a/internal/program/controller/join.go
+++ b/internal/program/controller/join.go
@@ -173,10 +173,10 @@
 	return false, false
 }
 
-// postEvent sends an event to the owner. It waits while the inbox is full.
+// postEvent sends an event to the owner. It waits while the channel of events is full.
 func (c *Controller) postEvent(ctx context.Context, next event) {
 	select {
-	case c.inbox <- next:
+	case c.events <- next:
 	case <-ctx.Done():
 	}
 }
--- a/internal/program/controller/serve.go
+++ b/internal/program/controller/serve.go
@@ -64,14 +64,14 @@
 }
 
 // sendEvent sends an event to the owner and waits for the reply. It fails at once
-// if the inbox is full.
-func sendEvent[A any](ctx context.Context, inbox chan<- event, next event, reply <-chan A) (A, error) {
+// if the channel of events is full.
+func sendEvent[A any](ctx context.Context, events chan<- event, next event, reply <-chan A) (A, error) {
 	var zero A
 
 	select {
-	case inbox <- next:
+	case events <- next:
 	default:
-		return zero, link.Errorf(link.KindBusy, "the inbox is full with %d events", inboxSize)
+		return zero, link.Errorf(link.KindBusy, "the inbox is full with %d events", maxPendingEvents)
 	}
 
 	select {
@@ -86,7 +86,7 @@
 func (c *Controller) propose(ctx context.Context, proposed catalog.Command) (proposalResult, error) {
 	reply := make(chan proposalResult, 1)
 
-	outcome, err := sendEvent(ctx, c.inbox, &proposeCommand{command: proposed, reply: reply}, reply)
+	outcome, err := sendEvent(ctx, c.events, &proposeCommand{command: proposed, reply: reply}, reply)
 	if err != nil {
 		return outcome, err
 	}
@@ -106,7 +106,7 @@
 	request := &readIndex{onError: func(err error) { reply <- outcome{err: err} }}
 	request.onConfirmed = func(o *owner, _ time.Time) { reply <- outcome{value: query(o, request.index)} }
 
-	result, err := sendEvent(ctx, c.inbox, request, reply)
+	result, err := sendEvent(ctx, c.events, request, reply)
 	if err != nil {
 		return result.value, err
 	}
@@ -158,7 +158,7 @@
 
 	reply := make(chan renewResult, 1)
 
-	outcome, err := sendEvent(ctx, c.inbox, &renew{request: request, reply: reply}, reply)
+	outcome, err := sendEvent(ctx, c.events, &renew{request: request, reply: reply}, reply)
 	if err != nil {
 		return nil, err
 	}
@@ -202,7 +202,7 @@
 	c.network.setAddress(raft.ReplicaID(request.Replica), request.Address)
 
 	select {
-	case c.inbox <- received:
+	case c.events <- received:
 		return nil, nil
 	case <-ctx.Done():
 		return nil, link.NewError(link.KindDeadline, context.Cause(ctx))
@@ -229,12 +229,12 @@
 	if request.Action == control.MembersHere {
 		reply := make(chan control.MembersReply, 1)
 
-		return sendEvent(ctx, c.inbox, &listMembers{reply: reply}, reply)
+		return sendEvent(ctx, c.events, &listMembers{reply: reply}, reply)
 	}
 
 	reply := make(chan proposalResult, 1)
 
-	outcome, err := sendEvent(ctx, c.inbox, &changeMembers{request: request, reply: reply}, reply)
+	outcome, err := sendEvent(ctx, c.events, &changeMembers{request: request, reply: reply}, reply)
 	if err != nil {
 		return nil, err
 	}
@@ -294,7 +294,7 @@
 	for ctx.Err() == nil {
 		done := make(chan bool, 1)
 
-		applied, err := sendEvent(ctx, c.inbox, &confirmApplied{index: reply.Index, at: requestedAt, reply: done}, done)
+		applied, err := sendEvent(ctx, c.events, &confirmApplied{index: reply.Index, at: requestedAt, reply: done}, done)
 		if err != nil || applied {
 			return err
 		}
