--- a/internal/program/sidecar/checkpointer.go
+++ b/internal/program/sidecar/checkpointer.go
@@ -45,7 +45,7 @@
 	logger   *slog.Logger
 	// recoverFlows restores the flows of a checkpoint. It returns false before the
 	// backend server has reported.
-	recoverFlows   func(memory checkpoint.RestoredFlows) (done bool)
+	recoverFlows   func(stored checkpoint.RestoredFlows) (done bool)
 	longLivedFlows func() (born int64, flows map[flow.Key]uint32)
 
 	mutex        sync.Mutex
