--- a/internal/program/agent/fleet_test.go
+++ b/internal/program/agent/fleet_test.go
@@ -308,7 +308,7 @@
 // Guards against broken flows, feeds with gaps or repeated events, answers that
 // belong to other requests, and second runs while a balancer stops with datagrams
 // in flight and an agent drains with requests in progress.
-func TestFleet(t *testing.T) {
+func TestFleetDuringStops(t *testing.T) {
 	is := is.New(t)
 	d := newDeployment(t)
 
