--- a/internal/coordination/gate/backend.go
+++ b/internal/coordination/gate/backend.go
@@ -134,8 +134,8 @@
 	return report.WarmUpRemaining > 0 && age <= now.Sub(g.config.Boot)+startTolerance
 }
 
-// MarkEnded records that the backend server has ended. A startMillis of 0 means that its
-// start is not known.
+// MarkEnded records that the backend server has ended. A startMillis of 0 means
+// that its start is not known.
 func (g *Gate) MarkEnded(id string, startMillis int64) Outcome {
 	b := &g.backend
 	if (id != b.id && b.state != unreported) || (startMillis != 0 && startMillis < b.startMillis) {
--- a/internal/coordination/gate/queue.go
+++ b/internal/coordination/gate/queue.go
@@ -18,7 +18,8 @@
 	serviceTimeWeight = 0.1
 
 	// serviceTimeMargin is multiplied with the average service time to decide
-	// whether a request can still meet the target latency of its route. Service times vary by about half.
+	// whether a request can still meet the target latency of its route. Service
+	// times vary by about half.
 	serviceTimeMargin = 1.5
 
 	// fairnessInterval makes every fourth request that starts come from another
@@ -75,7 +76,8 @@
 
 func newQueue() queue { return queue{serviceTimes: make(map[flow.Endpoint]time.Duration)} }
 
-// observeServiceTime adds the service time of a request to the average of its service address.
+// observeServiceTime adds the service time of a request to the average of its
+// service address.
 func (q *queue) observeServiceTime(service flow.Endpoint, serviceTime time.Duration) {
 	average, ok := q.serviceTimes[service]
 	if !ok {
