--- a/internal/program/forwarder/forwarder.go
+++ b/internal/program/forwarder/forwarder.go
@@ -345,11 +345,11 @@
 	e.router.SetTable(table)
 }
 
-func (e events) Agents(now time.Time, records []roster.Record, whole bool) {
+func (e events) Agents(now time.Time, records []roster.Record, complete bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 
-	e.router.Apply(now, records, whole)
+	e.router.Apply(now, records, complete)
 }
 
 func (e events) Confirmed(now time.Time) {
