--- a/internal/program/sidecar/checkpointer.go
+++ b/internal/program/sidecar/checkpointer.go
@@ -26,14 +26,14 @@
 	// lose at once.
 	checkpointCopies = 3
 
-	// recallInterval is how often a starting agent asks the controllers for its
+	// restoreInterval is how often a starting agent asks the controllers for its
 	// flows.
-	recallInterval = 50 * time.Millisecond
+	restoreInterval = 50 * time.Millisecond
 
-	// recallTimeout is how long an agent keeps asking controllers that do not
+	// restoreTimeout is how long an agent keeps asking controllers that do not
 	// answer. Clients retransmit a packet within 1.6 s, and learn by then that
 	// their flow is lost.
-	recallTimeout = 3 * time.Second
+	restoreTimeout = 3 * time.Second
 )
 
 // checkpointer stores the open flows of an agent at controllers, and recovers them
@@ -46,11 +46,11 @@
 	// recoverFlows restores the flows of a checkpoint. It returns false before the
 	// backend server has reported.
 	recoverFlows   func(stored checkpoint.RestoredFlows) (done bool)
-	longLivedFlows func() (born int64, flows map[flow.Key]uint32)
+	longLivedFlows func() (startMillis int64, flows map[flow.Key]uint32)
 
 	mutex        sync.Mutex
 	tracker      *checkpoint.Tracker
-	answered     map[flow.Endpoint]bool     // controllers that answered the recall
+	answered     map[flow.Endpoint]bool     // controllers that answered the restore request
 	pendingFlows []checkpoint.RestoredFlows // wait for the first report of the backend server
 }
 
@@ -65,10 +65,10 @@
 	}
 }
 
-// run recalls the flows of an earlier start, then sends checkpoints until ctx ends.
-// A checkpoint sent during the recall would overwrite the flows to be recalled.
+// run restores the flows of an earlier start, then sends checkpoints until ctx ends.
+// A checkpoint sent before they are restored would overwrite the stored one.
 func (c *checkpointer) run(ctx context.Context) {
-	c.repeat(ctx, recallInterval, time.Now().Add(recallTimeout), c.recallAll)
+	c.repeat(ctx, restoreInterval, time.Now().Add(restoreTimeout), c.requestRestore)
 	c.repeat(ctx, checkpointInterval, time.Time{}, c.sendCheckpoints)
 }
 
@@ -87,9 +87,9 @@
 	}
 }
 
-// recallAll asks the controllers that have not answered for the flows of this
+// requestRestore asks the controllers that have not answered for the flows of this
 // agent. It reports whether all have answered and all checkpoints were applied.
-func (c *checkpointer) recallAll() bool {
+func (c *checkpointer) requestRestore() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
@@ -124,8 +124,8 @@
 // sendCheckpoints sends each holder the changes that it lacks. It always returns
 // false, so that repeat calls it until ctx ends.
 func (c *checkpointer) sendCheckpoints() bool {
-	born, flows := c.longLivedFlows()
-	if born == 0 {
+	startMillis, flows := c.longLivedFlows()
+	if startMillis == 0 {
 		return false
 	}
 
@@ -136,7 +136,7 @@
 	// controllers.
 	c.pendingFlows = slices.DeleteFunc(c.pendingFlows, c.recoverFlows)
 
-	c.tracker.Observe(born, flows)
+	c.tracker.Observe(startMillis, flows)
 
 	holders := c.selectHolders()
 
--- a/internal/program/sidecar/checkpointer_test.go
+++ b/internal/program/sidecar/checkpointer_test.go
@@ -42,11 +42,11 @@
 }
 
 // fakeController is a controller that holds a checkpoint of the agent, and records
-// the kinds of the messages that it receives. It ignores the first three recalls,
-// like a controller that is still reading its disk.
+// the kinds of the messages that it receives. It ignores the first three restore
+// requests, like a controller that is still reading its disk.
 type fakeController struct {
 	conn   *frag.Conn
-	memory checkpoint.Batch
+	stored checkpoint.Batch
 
 	mutex sync.Mutex
 	kinds []wire.Kind
@@ -60,16 +60,16 @@
 
 	c.kinds = append(c.kinds, kind)
 
-	recalls := 0
+	restoreRequests := 0
 	for _, earlier := range c.kinds {
 		if earlier == wire.KindRestore {
-			recalls++
+			restoreRequests++
 		}
 	}
 
-	if kind == wire.KindRestore && recalls > 3 {
+	if kind == wire.KindRestore && restoreRequests > 3 {
 		// The agent asks again if the reply is lost.
-		_ = c.conn.Send(from, c.memory.Append([]byte{byte(wire.KindRestoreReply)}))
+		_ = c.conn.Send(from, c.stored.Append([]byte{byte(wire.KindRestoreReply)}))
 	}
 }
 
@@ -82,7 +82,7 @@
 
 // TestRecall guards against clients that get no reset for flows that were lost
 // with the instance, and against a new checkpoint that overwrites the stored one
-// before it was recalled.
+// before it was restored.
 func TestRecall(t *testing.T) {
 	is := is.New(t)
 	logger := slog.New(slog.DiscardHandler)
@@ -93,7 +93,7 @@
 	conn, err := frag.Listen(controller, logger)
 	is.NoErr(err)
 
-	fake := &fakeController{conn: conn, memory: checkpoint.Batch{
+	fake := &fakeController{conn: conn, stored: checkpoint.Batch{
 		Agent: endpoint, BackendStart: 1000, Epoch: 1, To: 3, Opened: []checkpoint.Flow{{Key: key, Acknowledged: 9}},
 	}}
 
--- a/internal/program/sidecar/sidecar.go
+++ b/internal/program/sidecar/sidecar.go
@@ -92,7 +92,7 @@
 
 	mutex    sync.Mutex // guards everything below
 	gate     *gate.Gate
-	notified map[flow.Key]bool // recalled flows that were lost and whose clients got a reset
+	notified map[flow.Key]bool // restored flows that were lost and whose clients got a reset
 	stopping bool
 	buffer   []byte
 }
