--- a/internal/state/catalog/error.go
+++ b/internal/state/catalog/error.go
@@ -26,10 +26,10 @@
 
 // Error is the error type of this package.
 type Error struct {
-	operation string
-	kind      Kind
-	winner    *ConflictingChange
-	err       error
+	operation   string
+	kind        Kind
+	conflicting *ConflictingChange
+	err         error
 }
 
 func newError(operation string, kind Kind, err error) *Error {
@@ -45,9 +45,9 @@
 // Kind returns the kind of the error.
 func (e *Error) Kind() Kind { return e.kind }
 
-// ConflictingChange returns the change that a submission conflicts with, or nil if the error
-// has another cause.
-func (e *Error) ConflictingChange() *ConflictingChange { return e.winner }
+// ConflictingChange returns the change that a submission conflicts with, or nil if
+// the error has another cause.
+func (e *Error) ConflictingChange() *ConflictingChange { return e.conflicting }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.err }
--- a/internal/state/catalog/record.go
+++ b/internal/state/catalog/record.go
@@ -71,7 +71,7 @@
 	return record
 }
 
-func (c *change) winner() *ConflictingChange {
+func (c *change) toConflictingChange() *ConflictingChange {
 	return &ConflictingChange{ChangeID: c.ID, Author: c.Author, Version: c.Version, Digest: c.Digest, Status: c.Status}
 }
 
--- a/internal/state/catalog/result.go
+++ b/internal/state/catalog/result.go
@@ -54,7 +54,7 @@
 	}
 
 	failure := newError("apply", r.Kind, errors.New(r.Detail))
-	failure.winner = r.ConflictingChange
+	failure.conflicting = r.ConflictingChange
 
 	return failure
 }
--- a/internal/state/catalog/submit.go
+++ b/internal/state/catalog/submit.go
@@ -144,14 +144,14 @@
 // conflict reports whether another change was first: one that is pending, or one
 // that was accepted after the base version of the proposal.
 func (l *ledger) conflict(p proposal) (Result, bool) {
-	winner := l.pending
-	if winner == nil {
+	conflicting := l.pending
+	if conflicting == nil {
 		if p.base == l.version {
 			return Result{}, false
 		}
 
-		if winner = l.acceptedByVersion(p.base + 1); winner == nil {
-			winner = l.acceptedByVersion(l.version)
+		if conflicting = l.acceptedByVersion(p.base + 1); conflicting == nil {
+			conflicting = l.acceptedByVersion(l.version)
 		}
 	}
 
@@ -159,8 +159,8 @@
 		p.base, l.name, l.version)
 	result.Environment, result.Version = l.name, l.version
 
-	if winner != nil {
-		result.ConflictingChange = winner.winner()
+	if conflicting != nil {
+		result.ConflictingChange = conflicting.toConflictingChange()
 	}
 
 	return result, true
