--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -65,11 +65,11 @@
 func assertStored(t *testing.T, store *checkpoint.Store, want map[flow.Key]uint32) {
 	t.Helper()
 
-	memory, err := checkpoint.Restore(store.Batches(agent))
+	restored, err := checkpoint.Restore(store.Batches(agent))
 	is.New(t).NoErr(err)
 
-	found := make(map[flow.Key]uint32, len(memory.Flows))
-	for _, remembered := range memory.Flows {
+	found := make(map[flow.Key]uint32, len(restored.Flows))
+	for _, remembered := range restored.Flows {
 		found[remembered.Key] = remembered.Acknowledged
 	}
 
@@ -168,10 +168,10 @@
 			syncController(t, tracker, address, store)
 		}
 
-		memory, err := checkpoint.Restore(store.Batches(agent))
+		restored, err := checkpoint.Restore(store.Batches(agent))
 		is.New(t).NoErr(err)
-		is.New(t).Equal(memory.BackendStart, currentStart)
-		is.New(t).Equal(len(memory.Flows), len(openFlows))
+		is.New(t).Equal(restored.BackendStart, currentStart)
+		is.New(t).Equal(len(restored.Flows), len(openFlows))
 	}
 }
 
