--- a/internal/testing/capacity/documentcost.go
+++ b/internal/testing/capacity/documentcost.go
@@ -129,14 +129,14 @@
 var owners = [2]string{"ann", "bob"}
 
 func newCommandLog() *commandLog {
-	founding := catalog.GroupConfig{}
+	groupConfig := catalog.GroupConfig{}
 	for i, name := range owners {
-		founding.Owners[i] = catalog.Owner{Name: name, Key: signingKey(byte(i + 1)).Public().(ed25519.PublicKey)}
+		groupConfig.Owners[i] = catalog.Owner{Name: name, Key: signingKey(byte(i + 1)).Public().(ed25519.PublicKey)}
 	}
 
-	state, err := catalog.New(founding)
+	state, err := catalog.New(groupConfig)
 	if err != nil {
-		panic(err) // the founding is constant
+		panic(err) // the configuration is constant
 	}
 
 	return &commandLog{catalog: state}
