--- a/internal/program/registry/checkpoints_test.go
+++ b/internal/program/registry/checkpoints_test.go
@@ -85,18 +85,18 @@
 	c.kill(1)
 	c.start(1, "1", false)
 
-	recall, err := wire.Encode(wire.KindRestore, wire.Restore{Agent: c.address(99)})
+	restore, err := wire.Encode(wire.KindRestore, wire.Restore{Agent: c.address(99)})
 	c.is.NoErr(err)
 
-	c.eventually("the flows are recalled", func() bool {
-		answer := agent.request(c.address(1), recall, wire.KindRestoreReply)
+	c.eventually("the flows are restored", func() bool {
+		answer := agent.request(c.address(1), restore, wire.KindRestoreReply)
 		if answer == nil {
 			return false
 		}
 
-		memory, err := checkpoint.Restore(answer)
+		restored, err := checkpoint.Restore(answer)
 		c.is.NoErr(err)
-		c.is.Equal(memory, checkpoint.RestoredFlows{BackendStart: 5, Epoch: 6, Flows: batch.Opened})
+		c.is.Equal(restored, checkpoint.RestoredFlows{BackendStart: 5, Epoch: 6, Flows: batch.Opened})
 
 		return true
 	})
@@ -113,9 +113,9 @@
 	})
 }
 
-// TestNotifyAfterRestart guards against instances that wait for their seeds although another
-// controller is running: after a restart a controller notifies the instances that
-// polled it before.
+// TestNotifyAfterRestart guards against instances that wait for their seeds
+// although another controller is running: after a restart a controller notifies
+// the instances that polled it before.
 func TestNotifyAfterRestart(t *testing.T) {
 	c := newCluster(t)
 	c.bootstrap(1)
--- a/internal/program/registry/serve.go
+++ b/internal/program/registry/serve.go
@@ -53,7 +53,7 @@
 	r.mutex.Lock()
 	urgent := r.recordPoll(now, from, poll)
 	reply := wire.PollReply{
-		Sequence: poll.Sequence, Version: current.version, Controllers: current.controllers, Ready: r.settled(now, current),
+		Sequence: poll.Sequence, Version: current.version, Controllers: current.controllers, Ready: r.ready(now, current),
 	}
 
 	if poll.WantsAgents {
@@ -109,9 +109,9 @@
 	return urgent
 }
 
-// settled reports whether the document and the list of agents are complete and
+// ready reports whether the document and the list of agents are complete and
 // current.
-func (r *Registry) settled(now time.Time, current *publishedState) bool {
+func (r *Registry) ready(now time.Time, current *publishedState) bool {
 	return current.hasLeader && now.Sub(current.publishedAt) < maxPublishedAge && now.Sub(r.started) > settleDelay
 }
 
