--- a/internal/cli/cmd/agent.go
+++ b/internal/cli/cmd/agent.go
@@ -28,7 +28,7 @@
 func (c *agentCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return process[agent.Settings]{
 		name: "agent",
-		observe: func(config *agent.Settings) (telemetry.Settings, settings.Instance) {
+		telemetrySettings: func(config *agent.Settings) (telemetry.Settings, settings.Instance) {
 			return config.Telemetry, config.Instance
 		},
 		run: func(ctx context.Context, config *agent.Settings, observed *telemetry.Telemetry) error {
--- a/internal/cli/cmd/backend.go
+++ b/internal/cli/cmd/backend.go
@@ -27,7 +27,7 @@
 func (c *backendCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return process[backend.Settings]{
 		name: "backend",
-		observe: func(config *backend.Settings) (telemetry.Settings, settings.Instance) {
+		telemetrySettings: func(config *backend.Settings) (telemetry.Settings, settings.Instance) {
 			return config.Telemetry, config.Instance
 		},
 		run: func(ctx context.Context, config *backend.Settings, observed *telemetry.Telemetry) error {
--- a/internal/cli/cmd/balancer.go
+++ b/internal/cli/cmd/balancer.go
@@ -28,7 +28,7 @@
 func (c *balancerCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return process[balancer.Settings]{
 		name: "balancer",
-		observe: func(config *balancer.Settings) (telemetry.Settings, settings.Instance) {
+		telemetrySettings: func(config *balancer.Settings) (telemetry.Settings, settings.Instance) {
 			return config.Telemetry, config.Instance
 		},
 		run: func(ctx context.Context, config *balancer.Settings, observed *telemetry.Telemetry) error {
--- a/internal/cli/cmd/bench.go
+++ b/internal/cli/cmd/bench.go
@@ -51,11 +51,11 @@
 
 func (c *benchCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.seeds < 1 {
-		return usage("bench: -seeds is %d, must be at least 1", c.seeds)
+		return failUsage("bench: -seeds is %d, must be at least 1", c.seeds)
 	}
 
 	if flags.NArg() > 0 {
-		return usage("bench: unexpected argument %q", flags.Arg(0))
+		return failUsage("bench: unexpected argument %q", flags.Arg(0))
 	}
 
 	// Create the directory first, so that the run does not fail at its end.
--- a/internal/cli/cmd/cmd.go
+++ b/internal/cli/cmd/cmd.go
@@ -86,9 +86,9 @@
 	return exitFailure
 }
 
-// usage prints what is wrong with the arguments and returns the exit status for
-// usage errors.
-func usage(format string, arguments ...any) subcommands.ExitStatus {
+// failUsage prints what is wrong with the arguments and returns the exit
+// status for usage errors.
+func failUsage(format string, arguments ...any) subcommands.ExitStatus {
 	fmt.Fprintf(os.Stderr, "jayspindle: "+format+"\n", arguments...)
 
 	return exitUsage
--- a/internal/cli/cmd/controller.go
+++ b/internal/cli/cmd/controller.go
@@ -42,7 +42,7 @@
 func (c *controllerCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return process[controllerSettings]{
 		name: "controller",
-		observe: func(config *controllerSettings) (telemetry.Settings, settings.Instance) {
+		telemetrySettings: func(config *controllerSettings) (telemetry.Settings, settings.Instance) {
 			return config.Telemetry, config.instance()
 		},
 		run: func(ctx context.Context, config *controllerSettings, observed *telemetry.Telemetry) error {
--- a/internal/cli/cmd/diff.go
+++ b/internal/cli/cmd/diff.go
@@ -29,7 +29,7 @@
 
 func (c *diffCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() != 2 {
-		return usage("diff: two files are needed")
+		return failUsage("diff: two files are needed")
 	}
 
 	old, err := parseDocument(flags.Arg(0))
--- a/internal/cli/cmd/explain.go
+++ b/internal/cli/cmd/explain.go
@@ -11,7 +11,7 @@
 )
 
 type explainCommand struct {
-	operator
+	operatorFlags
 	environment string
 }
 
@@ -34,7 +34,7 @@
 
 func (c *explainCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() != 1 {
-		return usage("explain: name one change by its ID or version")
+		return failUsage("explain: name one change by its ID or version")
 	}
 
 	return c.run(ctx, func(ctx context.Context, client *controller.Client) (any, func(), error) {
--- a/internal/cli/cmd/fleet.go
+++ b/internal/cli/cmd/fleet.go
@@ -31,7 +31,7 @@
 func (c *fleetCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	controllers, err := c.endpoints()
 	if err != nil {
-		return usage("%v", err)
+		return failUsage("%v", err)
 	}
 
 	return c.query(ctx, func(ctx context.Context, inspector *inspect.Inspector) subcommands.ExitStatus {
@@ -41,7 +41,7 @@
 
 func (c *fleetCommand) show(fleet *inspect.Fleet) subcommands.ExitStatus {
 	status := exitOK
-	if !agree(fleet) {
+	if !controllersAgree(fleet) {
 		status = exitCheck
 	}
 
@@ -58,9 +58,9 @@
 	return status
 }
 
-// agree reports whether all controllers answer, are in contact with their group
-// and have the same document in force.
-func agree(fleet *inspect.Fleet) bool {
+// controllersAgree reports whether all controllers answer, are settled (in contact
+// with their group) and have the same document in force.
+func controllersAgree(fleet *inspect.Fleet) bool {
 	for _, controller := range fleet.Controllers {
 		if !controller.Answers || !controller.Settled || controller.Version != fleet.Controllers[0].Version {
 			return false
--- a/internal/cli/cmd/flow.go
+++ b/internal/cli/cmd/flow.go
@@ -34,22 +34,22 @@
 	const addressCount = 2
 
 	if flags.NArg() != addressCount {
-		return usage("flow takes two addresses, found %d arguments", flags.NArg())
+		return failUsage("flow takes two addresses, found %d arguments", flags.NArg())
 	}
 
 	controllers, err := c.endpoints()
 	if err != nil {
-		return usage("%v", err)
+		return failUsage("%v", err)
 	}
 
 	client, err := parseEndpoint("client", flags.Arg(0))
 	if err != nil {
-		return usage("%v", err)
+		return failUsage("%v", err)
 	}
 
 	service, err := parseEndpoint("route", flags.Arg(1))
 	if err != nil {
-		return usage("%v", err)
+		return failUsage("%v", err)
 	}
 
 	return c.query(ctx, func(ctx context.Context, inspector *inspect.Inspector) subcommands.ExitStatus {
--- a/internal/cli/cmd/history.go
+++ b/internal/cli/cmd/history.go
@@ -15,7 +15,7 @@
 )
 
 type historyCommand struct {
-	operator
+	operatorFlags
 	environment string
 	limit       uint
 }
@@ -39,7 +39,7 @@
 
 func (c *historyCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.limit == 0 || c.limit > control.MaxHistory {
-		return usage("history: -limit %d is not between 1 and %d", c.limit, control.MaxHistory)
+		return failUsage("history: -limit %d is not between 1 and %d", c.limit, control.MaxHistory)
 	}
 
 	return c.run(ctx, func(ctx context.Context, client *controller.Client) (any, func(), error) {
--- a/internal/cli/cmd/inspect.go
+++ b/internal/cli/cmd/inspect.go
@@ -55,7 +55,7 @@
 ) subcommands.ExitStatus {
 	from, err := netip.ParseAddrPort(f.from)
 	if err != nil {
-		return usage("-from: found %q, allowed: an IPv4 address with a port", f.from)
+		return failUsage("-from: found %q, allowed: an IPv4 address with a port", f.from)
 	}
 
 	inspector, err := inspect.New(from, slog.New(slog.DiscardHandler))
--- a/internal/cli/cmd/keygen.go
+++ b/internal/cli/cmd/keygen.go
@@ -60,7 +60,7 @@
 
 func (c *keygenCommand) Execute(_ context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.out == "" {
-		return usage("keygen: -out is missing")
+		return failUsage("keygen: -out is missing")
 	}
 
 	var err error
@@ -73,7 +73,7 @@
 	case "service", "owner":
 		err = c.createPair()
 	default:
-		return usage("keygen: -kind %q is not one of authority, instance, certificate, service, owner", c.kind)
+		return failUsage("keygen: -kind %q is not one of authority, instance, certificate, service, owner", c.kind)
 	}
 
 	if err != nil {
--- a/internal/cli/cmd/load.go
+++ b/internal/cli/cmd/load.go
@@ -42,7 +42,7 @@
 
 	status := process[load.Settings]{
 		name: "load",
-		observe: func(config *load.Settings) (telemetry.Settings, settings.Instance) {
+		telemetrySettings: func(config *load.Settings) (telemetry.Settings, settings.Instance) {
 			return config.Telemetry, config.Instance
 		},
 		run: func(ctx context.Context, config *load.Settings, observed *telemetry.Telemetry) error {
--- a/internal/cli/cmd/members.go
+++ b/internal/cli/cmd/members.go
@@ -17,7 +17,7 @@
 )
 
 type membersCommand struct {
-	operator
+	operatorFlags
 	action  string
 	replica string
 	address string
@@ -45,7 +45,7 @@
 
 func (c *membersCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if !slices.Contains([]string{"list", "add", "promote", "remove"}, c.action) {
-		return usage("members: -action %q is not one of list, add, promote, remove", c.action)
+		return failUsage("members: -action %q is not one of list, add, promote, remove", c.action)
 	}
 
 	return c.run(ctx, func(ctx context.Context, client *controller.Client) (any, func(), error) {
--- a/internal/cli/cmd/operator.go
+++ b/internal/cli/cmd/operator.go
@@ -34,20 +34,20 @@
 	Identity    identity.Files   `yaml:"identity" validate:"required"`
 }
 
-// operator holds the flags shared by all commands that call the controllers.
-type operator struct {
+// operatorFlags holds the flags shared by all commands that call the controllers.
+type operatorFlags struct {
 	settings string
 	json     bool
 }
 
-func (o *operator) setFlags(flags *flag.FlagSet) {
+func (o *operatorFlags) setFlags(flags *flag.FlagSet) {
 	flags.StringVar(&o.settings, "settings", "operator.yaml", "YAML settings `file` of the operator")
 	flags.BoolVar(&o.json, "json", false, "print JSON")
 }
 
-// run calls the controllers and prints the reply: as JSON, or by the function
-// that show returns.
-func (o *operator) run(
+// run calls the controllers and prints the reply: as JSON, or with the function
+// that request returns.
+func (o *operatorFlags) run(
 	ctx context.Context, request func(ctx context.Context, client *controller.Client) (any, func(), error),
 ) subcommands.ExitStatus {
 	config, err := settings.Load[operatorSettings](o.settings)
@@ -78,7 +78,7 @@
 
 	reply, show, err := request(ctx, controller.NewClient(connection))
 	if err != nil {
-		return refusedOrFailed(err)
+		return failCall(err)
 	}
 
 	if o.json {
@@ -87,12 +87,12 @@
 
 	show()
 
-	return statusOf(reply)
+	return exitStatusOf(reply)
 }
 
-// statusOf returns the exit status for a reply: exitRefused if it reports a
+// exitStatusOf returns the exit status for a reply: exitRefused if it reports a
 // change that was refused.
-func statusOf(reply any) subcommands.ExitStatus {
+func exitStatusOf(reply any) subcommands.ExitStatus {
 	change, ok := reply.(control.ChangeReply)
 	if !ok {
 		return exitOK
@@ -106,9 +106,9 @@
 	}
 }
 
-// refusedOrFailed prints an error and returns exitRefused if the controllers
+// failCall prints an error and returns exitRefused if the controllers
 // refused the call, exitFailure if the call failed.
-func refusedOrFailed(err error) subcommands.ExitStatus {
+func failCall(err error) subcommands.ExitStatus {
 	status := fail(err)
 
 	switch link.KindOf(err) {
--- a/internal/cli/cmd/output.go
+++ b/internal/cli/cmd/output.go
@@ -18,7 +18,7 @@
 		return fail(err)
 	}
 
-	return statusOf(value)
+	return exitStatusOf(value)
 }
 
 // printTable prints a header and the rows that write adds. Cells end with tabs.
--- a/internal/cli/cmd/program.go
+++ b/internal/cli/cmd/program.go
@@ -20,15 +20,15 @@
 // process describes the process that a subcommand runs with settings S.
 type process[S any] struct {
 	name string
-	// observe returns the settings that telemetry needs.
-	observe func(config *S) (telemetry.Settings, settings.Instance)
-	run     func(ctx context.Context, config *S, observed *telemetry.Telemetry) error
+	// telemetrySettings returns the settings that telemetry needs.
+	telemetrySettings func(config *S) (telemetry.Settings, settings.Instance)
+	run               func(ctx context.Context, config *S, tel *telemetry.Telemetry) error
 }
 
 // execute loads the settings file, starts telemetry and runs the process.
 func (p process[S]) execute(ctx context.Context, file string) subcommands.ExitStatus {
 	if file == "" {
-		return usage("%s: -settings is missing", p.name)
+		return failUsage("%s: -settings is missing", p.name)
 	}
 
 	config, err := settings.Load[S](file)
@@ -36,15 +36,15 @@
 		return fail(err)
 	}
 
-	telemetrySettings, instance := p.observe(config)
+	telemetrySettings, instance := p.telemetrySettings(config)
 
-	observed, err := telemetry.New(telemetrySettings, p.name, instance)
+	tel, err := telemetry.New(telemetrySettings, p.name, instance)
 	if err != nil {
 		return fail(err)
 	}
-	defer observed.Close(context.WithoutCancel(ctx))
+	defer tel.Close(context.WithoutCancel(ctx))
 
-	if err := p.run(ctx, config, observed); err != nil {
+	if err := p.run(ctx, config, tel); err != nil {
 		return fail(err)
 	}
 
--- a/internal/cli/cmd/promote.go
+++ b/internal/cli/cmd/promote.go
@@ -11,7 +11,7 @@
 )
 
 type promoteCommand struct {
-	operator
+	operatorFlags
 	change string
 	author string
 	base   string
@@ -41,7 +41,7 @@
 
 func (c *promoteCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.author == "" {
-		return usage("promote: -author is missing")
+		return failUsage("promote: -author is missing")
 	}
 
 	return c.run(ctx, func(ctx context.Context, client *controller.Client) (any, func(), error) {
--- a/internal/cli/cmd/reject.go
+++ b/internal/cli/cmd/reject.go
@@ -11,7 +11,7 @@
 	"jayspindle/internal/state/document"
 )
 
-type rejectCommand struct{ signature }
+type rejectCommand struct{ signFlags }
 
 func (*rejectCommand) Name() string { return "reject" }
 
--- a/internal/cli/cmd/replaceowner.go
+++ b/internal/cli/cmd/replaceowner.go
@@ -12,7 +12,7 @@
 )
 
 type replaceOwnerCommand struct {
-	operator
+	operatorFlags
 	owner  string
 	name   string
 	key    string
@@ -47,7 +47,7 @@
 
 func (c *replaceOwnerCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.owner == "" || c.author == "" {
-		return usage("replace-owner: -owner and -author are needed")
+		return failUsage("replace-owner: -owner and -author are needed")
 	}
 
 	key, err := identity.ParsePublicKey(c.key)
--- a/internal/cli/cmd/rotatekey.go
+++ b/internal/cli/cmd/rotatekey.go
@@ -11,7 +11,7 @@
 )
 
 type rotateKeyCommand struct {
-	operator
+	operatorFlags
 	environment string
 }
 
--- a/internal/cli/cmd/sign.go
+++ b/internal/cli/cmd/sign.go
@@ -14,9 +14,9 @@
 	"jayspindle/internal/transport/identity"
 )
 
-// signature holds the flags of commands that sign the pending change.
-type signature struct {
-	operator
+// signFlags holds the flags of commands that sign the pending change.
+type signFlags struct {
+	operatorFlags
 	environment string
 	file        string
 	digest      string
@@ -24,7 +24,7 @@
 	key         string
 }
 
-func (s *signature) setSignFlags(flags *flag.FlagSet) {
+func (s *signFlags) setSignFlags(flags *flag.FlagSet) {
 	s.setFlags(flags)
 	flags.StringVar(&s.environment, "environment", "trial", "trial, production or owners")
 	flags.StringVar(&s.file, "file", "", "the document that was read and is decided on")
@@ -35,12 +35,12 @@
 
 // decide signs the decision on the pending change and sends it. The change must
 // have the digest of the file or of -digest.
-func (s *signature) decide(
+func (s *signFlags) decide(
 	ctx context.Context, decision document.Decision,
 	send func(ctx context.Context, client *controller.Client, signed control.Sign) (control.ChangeReply, error),
 ) subcommands.ExitStatus {
 	if s.owner == "" || s.key == "" || (s.file == "") == (s.digest == "") {
-		return usage("-owner, -key and either -file or -digest are needed")
+		return failUsage("-owner, -key and either -file or -digest are needed")
 	}
 
 	return s.run(ctx, func(ctx context.Context, client *controller.Client) (any, func(), error) {
@@ -55,7 +55,7 @@
 	})
 }
 
-func (s *signature) sign(
+func (s *signFlags) sign(
 	ctx context.Context, client *controller.Client, decision document.Decision,
 ) (control.Sign, error) {
 	digest, err := s.decidedDigest()
@@ -84,7 +84,7 @@
 
 // decidedDigest returns the digest of the document file, or the one given for a
 // change of owners.
-func (s *signature) decidedDigest() ([32]byte, error) {
+func (s *signFlags) decidedDigest() ([32]byte, error) {
 	if s.digest == "" {
 		data, err := readDocument(s.file)
 
@@ -99,7 +99,7 @@
 	return [32]byte(decoded), nil
 }
 
-type signCommand struct{ signature }
+type signCommand struct{ signFlags }
 
 func (*signCommand) Name() string { return "sign" }
 
--- a/internal/cli/cmd/status.go
+++ b/internal/cli/cmd/status.go
@@ -14,7 +14,7 @@
 )
 
 type statusCommand struct {
-	operator
+	operatorFlags
 	environment string
 }
 
--- a/internal/cli/cmd/submit.go
+++ b/internal/cli/cmd/submit.go
@@ -15,7 +15,7 @@
 )
 
 type submitCommand struct {
-	operator
+	operatorFlags
 	environment string
 	file        string
 	change      string
@@ -49,7 +49,7 @@
 
 func (c *submitCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.author == "" || c.file == "" {
-		return usage("submit: -author and -file are needed")
+		return failUsage("submit: -author and -file are needed")
 	}
 
 	data, err := readDocument(c.file)
--- a/internal/cli/cmd/trace.go
+++ b/internal/cli/cmd/trace.go
@@ -72,7 +72,7 @@
 
 func (c *traceCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() == 0 {
-		return usage("trace: no trace file is named")
+		return failUsage("trace: no trace file is named")
 	}
 
 	traces := make(map[string][]span)
@@ -93,7 +93,7 @@
 
 		shown++
 
-		spans = append(spans, linked(spans, traces)...)
+		spans = append(spans, linkedSpans(spans, traces)...)
 		slices.SortFunc(spans, func(a, b span) int { return a.StartTime.Compare(b.StartTime) })
 
 		if c.json {
@@ -134,9 +134,10 @@
 	return errors.Annotate(lines.Err(), name)
 }
 
-// linked returns the spans of the traces that the given spans link to: those of
-// the session on which a request arrived, whose hops precede the request's.
-func linked(spans []span, traces map[string][]span) []span {
+// linkedSpans returns the spans of the traces that the given spans link to. A
+// request's spans link to the trace of the session on which it arrived, whose hops
+// precede the request's.
+func linkedSpans(spans []span, traces map[string][]span) []span {
 	var found []span
 
 	seen := make(map[string]bool)
--- a/internal/cli/cmd/trace_test.go
+++ b/internal/cli/cmd/trace_test.go
@@ -26,10 +26,10 @@
 	is.NoErr(readSpans(name, traces))
 
 	var names []string
-	for _, found := range linked(traces["r"], traces) {
+	for _, found := range linkedSpans(traces["r"], traces) {
 		names = append(names, found.Name)
 	}
 
 	is.Equal(names, []string{"balancer.first_packet", "agent.session"})
-	is.Equal(len(linked(traces["s"], traces)), 0)
+	is.Equal(len(linkedSpans(traces["s"], traces)), 0)
 }
--- a/internal/cli/cmd/validate.go
+++ b/internal/cli/cmd/validate.go
@@ -40,7 +40,7 @@
 
 func (c *validateCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() == 0 {
-		return usage("validate: no file is named")
+		return failUsage("validate: no file is named")
 	}
 
 	status := exitOK
