--- a/internal/program/balancer/balancer.go
+++ b/internal/program/balancer/balancer.go
@@ -47,16 +47,16 @@
 
 // Balancer forwards datagrams and relays views.
 type Balancer struct {
-	config     Settings
-	telemetry  *telemetry.Telemetry
-	logger     *slog.Logger
-	member     *member.Member
-	relay      *relay
-	pool       *udp.Pool
-	data       []*udp.Socket
-	engine     atomic.Pointer[forward.Balancer]
-	applyMutex sync.Mutex // held while a view is applied
-	services   *listeners
+	config      Settings
+	telemetry   *telemetry.Telemetry
+	logger      *slog.Logger
+	member      *member.Member
+	relay       *relay
+	pool        *udp.Pool
+	dataSockets []*udp.Socket
+	forwarder   atomic.Pointer[forward.Balancer]
+	applyMutex  sync.Mutex // held while a view is applied
+	listeners   *listeners
 }
 
 // New returns a balancer and binds its data address.
@@ -75,11 +75,11 @@
 		}),
 	}
 
-	if b.data, err = udp.Listen(config.Data, b.socketOptions()); err != nil {
+	if b.dataSockets, err = udp.Listen(config.Data, b.socketOptions()); err != nil {
 		return nil, errors.Trace(err)
 	}
 
-	b.services = newListeners(b)
+	b.listeners = newListeners(b)
 
 	if b.relay, err = newRelay(config, store, b.logger); err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 		Sockets:       b.config.Workers,
 		ReceiveBuffer: receiveBufferBytes,
 		OnUnreachable: func(destination netip.AddrPort, _ syscall.Errno) {
-			if engine := b.engine.Load(); engine != nil {
+			if engine := b.forwarder.Load(); engine != nil {
 				engine.RecordRefusal(time.Now(), destination)
 			}
 		},
@@ -123,13 +123,14 @@
 	}
 }
 
-// apply makes a view take effect. The member calls it for each new view, one at a
-// time. Run calls it for the view that arrived before the engine existed.
+// apply passes a view to the forwarder and the listeners. The member calls it for
+// each new view, one at a time. Run calls it for the view that arrived before
+// forwarding started.
 func (b *Balancer) apply(current *view.View) {
 	b.applyMutex.Lock()
 	defer b.applyMutex.Unlock()
 
-	engine := b.engine.Load()
+	engine := b.forwarder.Load()
 	if engine == nil {
 		return
 	}
@@ -140,7 +141,7 @@
 		return
 	}
 
-	b.services.update(current)
+	b.listeners.update(current)
 }
 
 // Run forwards datagrams until the context ends and the linger time has passed.
@@ -156,7 +157,7 @@
 	tasks.Go(func() { b.relay.run(runCtx) })
 
 	if err := b.member.WaitReady(ctx); err != nil {
-		for _, socket := range b.data {
+		for _, socket := range b.dataSockets {
 			_ = socket.Close() // no datagram was served yet
 		}
 
@@ -164,10 +165,10 @@
 	}
 
 	engine := forward.NewBalancer(b.member.Incarnation(), rand.Uint64())
-	b.engine.Store(engine)
+	b.forwarder.Store(engine)
 	b.publishCounters(engine)
 
-	for _, socket := range b.data {
+	for _, socket := range b.dataSockets {
 		tasks.Go(func() { b.serve(socket, b.agentHandler()) })
 	}
 
@@ -177,11 +178,12 @@
 
 	select {
 	case <-ctx.Done():
-		b.leave(runCtx)
+		b.drain(runCtx)
 
 		return errors.Trace(b.close())
 	case <-b.member.Replaced():
-		// Agents no longer send replies through the former incarnation.
+		// The controllers have assigned another incarnation. Agents no longer send replies
+		// through the former one, so this process stops.
 		b.telemetry.SetReady(false)
 
 		if err := b.close(); err != nil {
@@ -192,22 +194,22 @@
 	}
 }
 
-// leave announces that the balancer drains, and forwards for the linger time so
+// drain announces that the balancer drains, and forwards for the linger time so
 // that the fabric can take it out of rotation.
-func (b *Balancer) leave(ctx context.Context) {
+func (b *Balancer) drain(ctx context.Context) {
 	b.logger.Info("leaving", "linger", b.config.Linger)
 	b.telemetry.SetReady(false)
-	b.announcePhase(ctx, control.PhaseDraining)
+	b.reportPhase(ctx, control.PhaseDraining)
 
 	timer := time.NewTimer(b.config.Linger)
 	defer timer.Stop()
 
 	<-timer.C
-	b.announcePhase(ctx, control.PhaseRemoved)
+	b.reportPhase(ctx, control.PhaseRemoved)
 	b.member.Close()
 }
 
-func (b *Balancer) announcePhase(ctx context.Context, phase control.Phase) {
+func (b *Balancer) reportPhase(ctx context.Context, phase control.Phase) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 
@@ -217,13 +219,13 @@
 }
 
 func (b *Balancer) close() error {
-	b.services.close()
+	b.listeners.close()
 
 	var closeErr error
 
 	// Stopping a socket that has failed returns an error. The others must be stopped
 	// all the same.
-	for _, socket := range b.data {
+	for _, socket := range b.dataSockets {
 		if err := socket.Stop(); err != nil {
 			closeErr = errors.Trace(err)
 		}
@@ -244,9 +246,9 @@
 
 // callerHandler returns the batch handler of one socket of a service.
 func (b *Balancer) callerHandler(service view.ServiceID) func(*udp.Batch) {
-	worker := b.engine.Load().Worker()
+	worker := b.forwarder.Load().Worker()
 	outbox := udp.NewOutbox(batchSize)
-	data := b.data[int(service)%len(b.data)]
+	data := b.dataSockets[int(service)%len(b.dataSockets)]
 
 	return func(batch *udp.Batch) {
 		now := time.Now()
@@ -293,9 +295,9 @@
 
 // agentHandler returns the batch handler of one data socket.
 func (b *Balancer) agentHandler() func(*udp.Batch) {
-	worker := b.engine.Load().Worker()
+	worker := b.forwarder.Load().Worker()
 	outbox := udp.NewOutbox(batchSize)
-	data := b.data[0]
+	data := b.dataSockets[0]
 
 	var answers [batchSize][datagram.HeaderLength]byte
 
@@ -312,7 +314,7 @@
 
 			switch decision.Action {
 			case forward.Deliver:
-				if socket := b.services.socket(decision.Header.Service); socket != nil {
+				if socket := b.listeners.socket(decision.Header.Service); socket != nil {
 					outbox.Add(socket, payload[datagram.HeaderLength:], decision.Header.Caller)
 				}
 			case forward.Answer:
--- a/internal/program/balancer/listeners_test.go
+++ b/internal/program/balancer/listeners_test.go
@@ -41,15 +41,15 @@
 		config: Settings{Workers: 1}, logger: slog.New(slog.DiscardHandler),
 		pool: udp.NewPool(4, udp.BatchConfig{Size: 4, Length: maxDatagramBytes, Headroom: datagram.HeaderLength}),
 	}
-	b.services = newListeners(b)
-	b.engine.Store(forward.NewBalancer(1, 1))
+	b.listeners = newListeners(b)
+	b.forwarder.Store(forward.NewBalancer(1, 1))
 
 	var err error
-	b.data, err = udp.Listen(netip.MustParseAddrPort("127.0.0.1:0"), udp.Options{})
+	b.dataSockets, err = udp.Listen(netip.MustParseAddrPort("127.0.0.1:0"), udp.Options{})
 	is.NoErr(err)
 
-	defer b.data[0].Close()
-	defer b.services.close()
+	defer b.dataSockets[0].Close()
+	defer b.listeners.close()
 
 	first, second := freePort(t), freePort(t)
 	service := func(id view.ServiceID, address netip.AddrPort) view.Service {
@@ -57,7 +57,7 @@
 	}
 	assertSocket := func(id view.ServiceID, address netip.AddrPort) {
 		t.Helper()
-		socket := b.services.socket(id)
+		socket := b.listeners.socket(id)
 		is.True(socket != nil)
 		is.Equal(socket.Address(), address)
 	}
@@ -72,5 +72,5 @@
 
 	b.apply(viewOf(3, service(3, first)))
 	assertSocket(3, first)
-	is.True(b.services.socket(1) == nil)
+	is.True(b.listeners.socket(1) == nil)
 }
--- a/internal/program/balancer/relay.go
+++ b/internal/program/balancer/relay.go
@@ -35,13 +35,13 @@
 	environment string
 	publisher   *rollout.Publisher
 	server      *link.Server
-	upstream    upstream
+	upstream    upstreamClient
 	renewals    chan waitingRenewal
 	logger      *slog.Logger
 }
 
-// upstream is a client of the controllers.
-type upstream interface {
+// upstreamClient is a client of the controllers.
+type upstreamClient interface {
 	Call(ctx context.Context, method string, request, reply any) error
 	Close()
 }
@@ -102,7 +102,7 @@
 }
 
 // forwardCall forwards a call to the controllers and returns their reply.
-func forwardCall[Q, A any](ctx context.Context, upstream upstream, request *link.Request) (any, error) {
+func forwardCall[Q, A any](ctx context.Context, upstream upstreamClient, request *link.Request) (any, error) {
 	var (
 		message Q
 		reply   A
@@ -204,8 +204,8 @@
 // batch does not wait for the reply to the previous one: otherwise one lost reply
 // would block the renewals of the whole availability zone.
 func (r *relay) batchRenewals(ctx context.Context) {
-	var flushes conc.WaitGroup
-	defer flushes.Wait()
+	var sends conc.WaitGroup
+	defer sends.Wait()
 
 	ticker := time.NewTicker(batchInterval)
 	defer ticker.Stop()
@@ -225,7 +225,7 @@
 		}
 
 		if batch := waiting; len(batch) > 0 {
-			flushes.Go(func() { r.sendBatch(ctx, batch) })
+			sends.Go(func() { r.sendBatch(ctx, batch) })
 
 			waiting = nil
 		}
--- a/internal/program/balancer/settings.go
+++ b/internal/program/balancer/settings.go
@@ -23,5 +23,5 @@
 	// Without it the balancer listens on the service addresses themselves.
 	ListenHost netip.Addr    `yaml:"listen_host"`
 	Workers    int           `yaml:"workers" validate:"min=1,max=64"` // sockets and goroutines per address
-	Linger     time.Duration `yaml:"linger" validate:"min=0,max=10m"` // forwards this long after it reports not ready
+	Linger     time.Duration `yaml:"linger" validate:"min=0,max=10m"` // time of forwarding after reporting not ready
 }
