--- a/internal/program/load/caller.go
+++ b/internal/program/load/caller.go
@@ -30,7 +30,7 @@
 )
 
 // caller is one simulated caller with its own socket. Its requests and its feed
-// share a connection, as those of a driver do.
+// share a connection, as those of a real caller do.
 type caller struct {
 	client     *Client
 	name       string // in logs
@@ -104,8 +104,8 @@
 }
 
 // watch counts a flow as broken unless it was closed on purpose. At the end it
-// closes the flow: the HTTP/3 transport forgets a flow that the agent has shut
-// down, and such a flow could stay open.
+// closes the flow: the HTTP/3 transport drops its reference to a connection that
+// the agent has shut down, and such a connection could stay open.
 func (c *caller) watch(connection *quic.Conn, transport *quic.Transport, spray *sprayConn) {
 	select {
 	case <-connection.Context().Done():
--- a/internal/program/load/load.go
+++ b/internal/program/load/load.go
@@ -28,8 +28,8 @@
 	"jayspindle/internal/program/backend"
 )
 
-// settleDelay lets requests in progress end before the ledgers are read.
-const settleDelay = 500 * time.Millisecond
+// ledgerReadDelay lets requests in progress end before the ledgers are read.
+const ledgerReadDelay = 500 * time.Millisecond
 
 // Client drives the workloads of its settings.
 type Client struct {
@@ -78,7 +78,7 @@
 	cancel()
 	stopPolling()
 	group.Wait()
-	time.Sleep(settleDelay)
+	time.Sleep(ledgerReadDelay)
 
 	var runs map[string]int
 
--- a/internal/program/load/result.go
+++ b/internal/program/load/result.go
@@ -68,11 +68,11 @@
 	FeedDuplicates int64          `json:"feed_duplicates"`
 	FeedMoves      int64          `json:"feed_moves"`
 	FeedStalls     int64          `json:"feed_stalls"` // no event for the feed_silence of the workload
-	Imbalance      float64        `json:"imbalance"`   // busiest over mean, of those present throughout
+	Imbalance      float64        `json:"imbalance"`   // busiest server over mean, of those present throughout
 	// BackendServers counts answers by service and backend server.
 	BackendServers  map[string]map[string]*ServerResult `json:"backend_servers"`
 	RunTwice        int64                               `json:"run_twice"`
-	Lost            int64                               `json:"lost"`              // answered, but in no ledger
+	Lost            int64                               `json:"lost"`              // answered, but recorded in no ledger
 	RanAfterRefusal int64                               `json:"ran_after_refusal"` // "not run", but in a ledger
 	Recorded        int64                               `json:"recorded"`          // keys in the ledgers
 	Reasons         map[string]int64                    `json:"reasons"`           // why requests were not answered
@@ -262,7 +262,8 @@
 }
 
 // Passed reports whether no flow broke, no feed lost or repeated an event, and
-// no request ran twice, was lost, or ran after it was refused with "not run".
+// no request failed, ran twice, was lost, or ran after it was refused with "not
+// run", and no answer was mismatched.
 func (r *Result) Passed() bool {
 	broken := r.BrokenFlows + r.FeedGaps + r.FeedDuplicates + r.FeedStalls + r.RunTwice + r.Lost + r.RanAfterRefusal
 	for _, class := range r.Classes {
--- a/internal/program/load/settings.go
+++ b/internal/program/load/settings.go
@@ -23,7 +23,7 @@
 // FabricBalancer is a balancer to which the fabric can hand a datagram.
 type FabricBalancer struct {
 	Host   netip.Addr     `yaml:"host" validate:"required"`
-	Health netip.AddrPort `yaml:"health"` // its debug address; polled if set
+	Health netip.AddrPort `yaml:"health"` // its debug address, whose health is polled if set
 }
 
 // Workload is a number of callers of one service that send the same requests.
