--- a/internal/program/member/member.go
+++ b/internal/program/member/member.go
@@ -54,12 +54,12 @@
 	Announce func(bootID []byte) control.Announce
 	Load     func() uint8     // percent of the slots in use
 	Sink     rollout.Sink     // optional, such as the publisher of a relay
-	OnView   func(*view.View) // called for each view that is put into force
+	OnView   func(*view.View) // called for each view that is applied
 	Logger   *slog.Logger
 	Random   *mathrand.Rand // seeds the jitter of links
 }
 
-// Member is the membership of one instance.
+// Member maintains the membership of one instance.
 type Member struct {
 	options     Options
 	client      controlClient
@@ -78,7 +78,7 @@
 	Close()
 }
 
-// appliedView is a view and the time at which it was put into force.
+// appliedView is a view and the time at which it was applied.
 type appliedView struct {
 	view      *view.View
 	appliedAt time.Time
@@ -143,7 +143,7 @@
 // afterwards.
 func (m *Member) Close() { m.client.Close() }
 
-// Apply puts a view into force. It implements rollout.Sink.
+// Apply makes a view the one in force and passes it on. It implements rollout.Sink.
 func (m *Member) Apply(now time.Time, next *view.View) {
 	m.current.Store(&appliedView{view: next, appliedAt: now})
 	m.options.Logger.Info("view in force", "position", next.Position().String(), "version", next.Version(),
@@ -175,8 +175,8 @@
 	return now.Sub(time.Unix(0, m.confirmed.Load())) <= rollout.ConfirmationLimit
 }
 
-// checkReady releases WaitReady once the view in force contains the instance. An older
-// view may lack its service or its keys.
+// checkReady closes ready, which ends WaitReady, once the view in force contains the
+// instance. An older view may lack its service or its keys.
 func (m *Member) checkReady() {
 	current, own := m.View(), m.Incarnation()
 	if current == nil || own == 0 {
@@ -217,9 +217,9 @@
 func (m *Member) Incarnation() view.Incarnation { return view.Incarnation(m.incarnation.Load()) }
 
 // Replaced returns a channel that is closed when the controllers have assigned
-// another incarnation, because they drop an instance after an hour without a
-// lease. Its flows and claims belong to the former incarnation, so the program
-// must restart.
+// another incarnation. This happens if the instance was without a lease for an hour
+// and was dropped. Its flows and claims belong to the former incarnation, so the
+// program must restart.
 func (m *Member) Replaced() <-chan struct{} { return m.replaced }
 
 // keepLease announces the instance and renews its lease. If the controllers no
@@ -286,8 +286,8 @@
 	return true, nil
 }
 
-// renew renews the lease and reports whether the controllers still know it. A
-// link error does not tell, so the instance then counts as known.
+// renew renews the lease and reports whether the controllers still know it. After
+// a link error this is unknown, and renew returns true.
 func (m *Member) renew(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
