--- a/internal/program/follower/follower.go
+++ b/internal/program/follower/follower.go
@@ -71,7 +71,7 @@
 	BootID uint64 // random for each start of the process
 	Seeds  func() []flow.Endpoint
 	Events Events
-	// WantsAgents is set by instances that need the list of agents.
+	// WantsAgents is set for instances that need the list of agents.
 	WantsAgents bool
 	// Announce returns the record that an agent publishes; nil for other instances.
 	Announce func(now time.Time) roster.Record
@@ -180,9 +180,9 @@
 	return pollInterval - time.Duration(rand.Int64N(int64(pollInterval/8)))
 }
 
-// pollOne polls a controller. Controllers other than the source need not answer
-// while the source does: with five controllers their answers would be a third of
-// the control traffic in bytes.
+// pollOne polls a controller. While the source is ready, the other controllers are
+// asked to reply only if they have a newer document: with five controllers their
+// replies would be a third of the control traffic in bytes.
 func (f *Follower) pollOne(poll wire.Poll, controller flow.Endpoint) {
 	poll.OnlyIfNewer = f.sourceReady && controller != f.source
 
@@ -257,7 +257,7 @@
 	f.Poll()
 }
 
-// handleReply handles the answer of a controller to a poll.
+// handleReply handles the reply of a controller to a poll.
 func (f *Follower) handleReply(now time.Time, from netip.AddrPort, reply wire.PollReply) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -317,6 +317,8 @@
 	}
 }
 
+// applySourceReply applies the list of agents, and reports a confirmation if the
+// source is ready and the document and the list are up to date.
 func (f *Follower) applySourceReply(now time.Time, reply wire.PollReply) {
 	if f.config.WantsAgents && reply.Epoch != 0 {
 		f.applyAgents(now, reply)
