--- a/internal/program/inspect/inspect.go
+++ b/internal/program/inspect/inspect.go
@@ -105,7 +105,7 @@
 	return slices.ContainsFunc(f.Agents, func(h FlowAnswer) bool { return h.Answer == answerText(flow.Held) })
 }
 
-// Inspector sends questions and collects the answers.
+// Inspector sends queries and collects the answers.
 type Inspector struct {
 	conn *frag.Conn
 
@@ -116,7 +116,7 @@
 	changed       chan struct{}
 }
 
-// New opens the address from which questions are sent.
+// New opens a socket on the address from which queries are sent.
 func New(address netip.AddrPort, logger *slog.Logger) (*Inspector, error) {
 	conn, err := frag.Listen(address, logger)
 	if err != nil {
@@ -133,7 +133,7 @@
 	return i, nil
 }
 
-// Close closes the address.
+// Close closes the socket.
 func (i *Inspector) Close() error { return i.conn.Close() }
 
 // handle stores an answer and ignores all other messages.
@@ -224,7 +224,7 @@
 		})
 	}
 
-	for _, record := range i.newestReply().Agents {
+	for _, record := range i.bestReply().Agents {
 		fleet.Agents = append(fleet.Agents, newAgent(record))
 	}
 
@@ -235,9 +235,9 @@
 	return fleet
 }
 
-// newestReply returns the reply of the most current controller. The caller holds
-// the mutex.
-func (i *Inspector) newestReply() wire.PollReply {
+// bestReply returns the reply with the highest version, and prefers controllers
+// that are ready. The caller holds the mutex.
+func (i *Inspector) bestReply() wire.PollReply {
 	var best wire.PollReply
 
 	for _, reply := range i.replies {
@@ -268,7 +268,7 @@
 		return nil, newError("flow", KindNoAnswer, errors.New("no controller answers"))
 	}
 
-	newest := i.newestReply()
+	newest := i.bestReply()
 	i.mutex.Unlock()
 
 	port := controllers[0].Port // the same on all instances
