--- a/internal/program/balancer/balancer.go
+++ b/internal/program/balancer/balancer.go
@@ -248,7 +248,7 @@
 func (b *Balancer) callerHandler(service view.ServiceID) func(*udp.Batch) {
 	worker := b.forwarder.Load().Worker()
 	outbox := udp.NewOutbox(batchSize)
-	data := b.dataSockets[int(service)%len(b.dataSockets)]
+	agentSocket := b.dataSockets[int(service)%len(b.dataSockets)]
 
 	return func(batch *udp.Batch) {
 		now := time.Now()
@@ -269,7 +269,7 @@
 
 			framed := batch.WithHeadroom(i)
 			worker.Seal(framed, &decision.Header)
-			outbox.Add(data, framed, decision.To)
+			outbox.Add(agentSocket, framed, decision.To)
 		}
 
 		outbox.Flush()
@@ -297,7 +297,7 @@
 func (b *Balancer) agentHandler() func(*udp.Batch) {
 	worker := b.forwarder.Load().Worker()
 	outbox := udp.NewOutbox(batchSize)
-	data := b.dataSockets[0]
+	agentSocket := b.dataSockets[0]
 
 	var answers [batchSize][datagram.HeaderLength]byte
 
@@ -319,7 +319,7 @@
 				}
 			case forward.Answer:
 				worker.Seal(answers[i][:], &decision.Header)
-				outbox.Add(data, answers[i][:], decision.To)
+				outbox.Add(agentSocket, answers[i][:], decision.To)
 			default:
 			}
 		}
