--- a/internal/testing/fleet/deploy.go
+++ b/internal/testing/fleet/deploy.go
@@ -148,7 +148,7 @@
 
 // Deploy starts the controllers, makes the first change, starts the balancers
 // and a number of agents with backend servers, and waits until all are ready
-// and have put the newest position into force.
+// and have applied the newest view.
 func (f *Fleet) Deploy(agents int) {
 	f.t.Helper()
 
--- a/internal/testing/fleet/forwarder.go
+++ b/internal/testing/fleet/forwarder.go
@@ -46,8 +46,9 @@
 func (w *Forwarder) Address() string { return w.listener.LocalAddr().String() }
 
 // Silence makes the forwarder silently drop all further datagrams of the
-// existing flows in one direction, and returns the number of these flows. New
-// flows are forwarded.
+// existing flows in one direction: towards the target if toTarget is true, else
+// towards the source. It returns the number of these flows. New flows are
+// forwarded.
 func (w *Forwarder) Silence(toTarget bool) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/testing/fleet/operate.go
+++ b/internal/testing/fleet/operate.go
@@ -170,7 +170,7 @@
 }
 
 // AwaitInForce waits until production has that many agents and balancers, and
-// all of them have put the newest position into force.
+// all of them have applied the newest view.
 func (f *Fleet) AwaitInForce(instances int) {
 	f.t.Helper()
 
@@ -206,8 +206,8 @@
 	return parsed
 }
 
-// Positions returns the positions that the latest run of an instance put into
-// force, oldest first, according to its log.
+// Positions returns the positions of the views that the latest run of an instance
+// applied, oldest first, according to its log.
 func (f *Fleet) Positions(name string) []view.Position {
 	var positions []view.Position
 
