--- a/internal/testing/measure/claims_simulation.go
+++ b/internal/testing/measure/claims_simulation.go
@@ -39,7 +39,8 @@
 	resendsLeft int
 }
 
-// handOverRecord records that an execution was handed over to a backend server.
+// handOverRecord records that an execution was handed over, that is, its request was
+// sent to a backend server and may have run.
 type handOverRecord struct {
 	execution claim.Execution
 	at        time.Time
--- a/internal/testing/measure/deployment.go
+++ b/internal/testing/measure/deployment.go
@@ -14,7 +14,7 @@
 	Load  float64       // ordinary arrivals as a fraction of the fleet's capacity
 }
 
-// Deployment is one service of a deployment with its request classes.
+// Deployment describes one service of a deployment and its request classes.
 type Deployment struct {
 	Name    string
 	Service string
--- a/internal/testing/measure/replies.go
+++ b/internal/testing/measure/replies.go
@@ -17,7 +17,7 @@
 	Balancers int
 	Flows     int
 	Duration  time.Duration // the balancer fails halfway through
-	LastSeen  bool          // reply through the balancer that last forwarded a packet of the flow
+	LastSeen  bool          // replies go through the balancer that last forwarded a packet of the flow
 }
 
 // RepliesResult counts replies. A reply is late if it reaches its caller more
