--- a/internal/transport/link/metrics.go
+++ b/internal/transport/link/metrics.go
@@ -3,8 +3,8 @@
 import "expvar"
 
 // metrics counts the frames and bytes received and sent by method, and the dials,
-// paths that timed out (KindSilent), lost peers (KindGone) and redirects of all
-// clients of the process.
+// paths that timed out (KindPathTimeout), lost peers (KindConnectionLost) and
+// redirects of all clients of the process.
 var metrics = expvar.NewMap("link")
 
 const (
